--- a/dispatch/split.go
+++ b/dispatch/split.go
@@ -50,7 +50,7 @@
 	for i, name := range names {
 		s.routers[name] = i
 	}
-	in := share.Input{Slots: s.pool.slots(), Routers: len(names), Catchup: s.pool.options.Catchup}
+	in := share.Input{Slots: s.pool.slots(), Routers: len(names), CatchUpLag: s.pool.options.Catchup}
 	numbers := make([]fair.Customer, 0, len(s.customers))
 	for c := range s.customers {
 		numbers = append(numbers, c)
@@ -59,9 +59,9 @@
 	for _, c := range numbers {
 		cu := s.customers[c]
 		for host, n := range s.parts[c] {
-			cu.Demand = append(cu.Demand, share.Part{Router: s.routers[host], Requests: n})
+			cu.Demand = append(cu.Demand, share.RouterDemand{Router: s.routers[host], Requests: n})
 		}
-		slices.SortFunc(cu.Demand, func(a, b share.Part) int { return cmp.Compare(a.Router, b.Router) })
+		slices.SortFunc(cu.Demand, func(a, b share.RouterDemand) int { return cmp.Compare(a.Router, b.Router) })
 		in.Customers = append(in.Customers, *cu)
 	}
 	return in
@@ -81,5 +81,5 @@
 		centres[i] = dataCentres[host]
 	}
 	centres[self] = s.pool.options.DataCentre
-	return share.Place(targets, centres, slots, self)
+	return share.Assign(targets, centres, slots, self)
 }
--- a/gateway/ask.go
+++ b/gateway/ask.go
@@ -57,7 +57,7 @@
 
 // question is a call of ask that waits for the answers of some routers.
 type question struct {
-	answers []place.Answer
+	answers []place.Reply
 	// missing are the routers that have not answered, by the numbers of what they were
 	// asked; done is closed when there are none.
 	missing map[uint64]*owner.Router
@@ -86,7 +86,7 @@
 
 // ask returns the answers that come in time. Targets that this router answers for need
 // no question.
-func (a *asker) ask(list []place.Question) []place.Answer {
+func (a *asker) ask(list []place.Query) []place.Reply {
 	byRouter := make(map[*owner.Router]*zinccovev1.Question)
 	for _, q := range list {
 		r := a.ownerOf(q.Target)
@@ -141,7 +141,7 @@
 	router := q.missing[reply.Number]
 	delete(a.missed, router.Name)
 	delete(q.missing, reply.Number)
-	a.gateway.placer.HeardFrom(router.DataCentre)
+	a.gateway.placer.RecordContact(router.DataCentre)
 	for _, t := range reply.Targets {
 		q.answers = append(q.answers, decodeAnswer(t))
 	}
@@ -151,7 +151,7 @@
 }
 
 // settle ends the waiting for answers and returns those that came.
-func (a *asker) settle(q *question) []place.Answer {
+func (a *asker) settle(q *question) []place.Reply {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.gateway.clock.Now()
--- a/gateway/ask_test.go
+++ b/gateway/ask_test.go
@@ -69,9 +69,9 @@
 
 // askUntil asks questions, and has the time for answers pass after so long: none waits
 // longer than askTime, however busy the host is.
-func askUntil(t *testing.T, clock *clockwork.FakeClock, g *Gateway, questions []place.Question, passes time.Duration) []place.Answer {
+func askUntil(t *testing.T, clock *clockwork.FakeClock, g *Gateway, questions []place.Query, passes time.Duration) []place.Reply {
 	t.Helper()
-	answers := make(chan []place.Answer, 1)
+	answers := make(chan []place.Reply, 1)
 	var group errgroup.Group
 	group.Go(func() error {
 		answers <- g.asker.ask(questions)
@@ -120,11 +120,11 @@
 	byName(all, first).placer.Place(ask("a"))
 	g := another(all, first, second)
 	r := ask("b")
-	answers := askUntil(t, clock, g, g.placer.Questions(r), answerTime)
+	answers := askUntil(t, clock, g, g.placer.Queries(r), answerTime)
 	assert.Equal(t, len(answers), 1)
 	assert.Equal(t, answers[0].Requests, 1)
-	assert.Equal(t, answers[0].Waiting, 1000)
-	assert.Equal(t, len(byName(all, first).asker.ask(g.placer.Questions(r))), 0, "nobody asks itself")
+	assert.Equal(t, answers[0].PendingTokens, 1000)
+	assert.Equal(t, len(byName(all, first).asker.ask(g.placer.Queries(r))), 0, "nobody asks itself")
 }
 
 // TestSilentRouterDelaysFewRequests has the router that answers for a target stand
@@ -136,7 +136,7 @@
 	silent.Store(first.Name, true)
 	byName(all, second).placer.Place(ask("a"))
 	g := another(all, first, second)
-	questions := g.placer.Questions(ask("b"))
+	questions := g.placer.Queries(ask("b"))
 	for range silentAfter {
 		assert.Equal(t, len(askUntil(t, clock, g, questions, 50*time.Millisecond)), 0)
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -176,7 +176,7 @@
 	g := &Gateway{
 		settings: s, clock: o.Clock, lines: l, metrics: metrics,
 		log:    zerolog.New(l).Level(s.LogLevel).With().Timestamp().Str("host", s.Host).Logger(),
-		placer: place.New(place.Options{Clock: o.Clock, Warm: !s.FirstStart, Regions: s.Regions}),
+		placer: place.New(place.Options{Clock: o.Clock, AssumeCached: !s.FirstStart, Regions: s.Regions}),
 		links:  link.NewPool(link.Options{Clock: o.Clock}), quarantine: quarantine.New(o.Clock),
 		collector: collector.New(s.Memory()), rollouts: rollout.New(rollout.Options{Clock: o.Clock, ExposeShare: s.ExposeShare}),
 		peers: &http.Client{Timeout: peerTimeout, Transport: &http.Transport{IdleConnTimeout: peerIdle}},
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -74,7 +74,7 @@
 // newsOf returns what a placer has to tell, in one datagram.
 func newsOf(p *place.Placer) *zinccovev1.Heartbeat {
 	hb := &zinccovev1.Heartbeat{Incarnation: 1, Sequence: 1, Partial: true}
-	news := p.TakeNews()
+	news := p.TakeUpdate()
 	encodeNews(hb, &news)
 	return hb
 }
@@ -83,16 +83,16 @@
 	sender, receiver := newPlacer(t), newPlacer(t)
 	run := sender.Place(ask("a")).Run
 	assert.Assert(t, run != nil)
-	receiver.SetPeer("sender", decodeReport(crosses(t, newsOf(sender))))
+	receiver.ApplyReport("sender", decodeReport(crosses(t, newsOf(sender))))
 	d := receiver.Place(ask("b"))
 	assert.Equal(t, d.Outstanding, 1)
 	assert.Equal(t, d.Backlog, 1000)
-	assert.Equal(t, d.Unread, 100, "the shared part was read by the sender's request")
+	assert.Equal(t, d.PrefillTokens, 100, "the shared part was read by the sender's request")
 	run.FirstEvent(true)
 	run.End(place.Answered)
 	last := crosses(t, newsOf(sender))
 	assert.Equal(t, len(last.FirstEvents), 1)
-	receiver.SetPeer("sender", decodeReport(last))
+	receiver.ApplyReport("sender", decodeReport(last))
 	d.Run.End(place.Cancelled)
 	assert.Equal(t, receiver.Place(ask("c")).Outstanding, 0)
 }
@@ -103,19 +103,19 @@
 	asker, asked := newPlacer(t), newPlacer(t)
 	assert.Assert(t, asked.Place(ask("a")).Run != nil)
 	r := ask("b")
-	var answers []place.Answer
-	for _, q := range asker.Questions(r) {
+	var answers []place.Reply
+	for _, q := range asker.Queries(r) {
 		hb := crosses(t, &zinccovev1.Heartbeat{Question: &zinccovev1.Question{Number: 1, Targets: []*zinccovev1.TargetQuestion{encodeQuestion(q)}}})
-		a, ok := asked.Answer(decodeQuestion(hb.Question.Targets[0]))
+		a, ok := asked.Reply(decodeQuestion(hb.Question.Targets[0]))
 		assert.Assert(t, ok)
 		reply := crosses(t, &zinccovev1.Heartbeat{Answer: &zinccovev1.Answer{Number: 1, Targets: []*zinccovev1.TargetAnswer{encodeAnswer(a)}}})
 		answers = append(answers, decodeAnswer(reply.Answer.Targets[0]))
 	}
 	d := asker.Place(r, answers...)
-	assert.Equal(t, d.Told, 1)
+	assert.Equal(t, d.Replies, 1)
 	assert.Equal(t, d.Outstanding, 1)
 	assert.Equal(t, d.Backlog, 1000)
-	assert.Equal(t, d.Unread, 100)
+	assert.Equal(t, d.PrefillTokens, 100)
 }
 
 // TestRouterWithoutConfigurationAsksAtOnce has a router hear of another one that
@@ -249,7 +249,7 @@
 			placed++
 		}
 	}
-	news := p.TakeNews()
+	news := p.TakeUpdate()
 	readings, datagrams := 0, 0
 	for ; !news.Empty(); datagrams++ {
 		hb := &zinccovev1.Heartbeat{Incarnation: 1 << 60, Sequence: 1 << 40, Partial: true}
--- a/gateway/hear.go
+++ b/gateway/hear.go
@@ -19,10 +19,10 @@
 func (l *loop) findCuts() {
 	beats, silence := l.presence.Heard(), time.Duration(presence.SilenceOfDataCentre)
 	if !l.reporting() {
-		beats, silence = l.beatsHeard(), place.LeastSilence
+		beats, silence = l.beatsHeard(), place.MinSilence
 	}
 	delete(beats, l.gateway.settings.DataCentre)
-	cut := l.gateway.placer.SetBeats(beats, silence)
+	cut := l.gateway.placer.SetHeartbeats(beats, silence)
 	slices.Sort(cut)
 	if !slices.Equal(cut, l.cut) {
 		l.gateway.log.Warn().Strs("data_centres", cut).Msg("data centres that seem cut off")
@@ -65,7 +65,7 @@
 		l.introduce(h)
 	}
 	l.heard = true
-	l.gateway.placer.SetPeer(host.Name, decodeReport(r.Heartbeat))
+	l.gateway.placer.ApplyReport(host.Name, decodeReport(r.Heartbeat))
 	l.hearReport(host, r.Heartbeat.Report)
 	l.hearRollouts(host.Name, host.DataCentre, r.Heartbeat)
 	l.hearLeaving(host.Name, r.Heartbeat.LeavingTargets)
@@ -123,6 +123,6 @@
 	}
 	gone, _ := l.contact.Expire(after)
 	for _, h := range gone {
-		l.gateway.placer.ForgetPeer(h.Name)
+		l.gateway.placer.RemovePeer(h.Name)
 	}
 }
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -188,7 +188,7 @@
 			l.hear(r)
 		case task := <-l.tasks:
 			task(l)
-		case <-l.gateway.placer.Placed():
+		case <-l.gateway.placer.UpdateReady():
 			l.placed()
 		case <-l.newsDue:
 			l.tellNews()
@@ -254,7 +254,7 @@
 	}
 	l.tellNews()
 	if l.ticks%sweepEvery == 0 {
-		l.gateway.placer.ForgetLoads()
+		l.gateway.placer.ExpireLoads()
 		l.gateway.collector.Adjust()
 		l.sweep()
 		l.publish(now)
@@ -284,5 +284,5 @@
 }
 
 func (l *loop) sweep() {
-	l.gateway.links.Sweep(l.gateway.placer.Knows)
+	l.gateway.links.Sweep(l.gateway.placer.Listed)
 }
--- a/gateway/owners.go
+++ b/gateway/owners.go
@@ -52,7 +52,7 @@
 func (l *loop) tellNews() {
 	g := l.gateway
 	l.newsDue = nil
-	news := g.placer.TakeNews()
+	news := g.placer.TakeUpdate()
 	if news.Empty() {
 		return
 	}
@@ -70,21 +70,21 @@
 }
 
 // byOwner sorts news by the addresses of the routers that they concern.
-func (g *Gateway) byOwner(n *place.News) map[netip.AddrPort]*place.News {
-	parts := make(map[netip.AddrPort]*place.News)
-	of := func(target place.Hash) *place.News {
+func (g *Gateway) byOwner(n *place.Update) map[netip.AddrPort]*place.Update {
+	parts := make(map[netip.AddrPort]*place.Update)
+	of := func(target place.Hash) *place.Update {
 		r := g.asker.ownerOf(target)
 		if r == nil || r.Name == g.settings.Host {
-			return new(place.News) // nobody else has to know
+			return new(place.Update) // nobody else has to know
 		}
 		if parts[r.Peer] == nil {
-			parts[r.Peer] = &place.News{Loads: make(map[place.Hash]place.Load)}
+			parts[r.Peer] = &place.Update{Loads: make(map[place.Hash]place.Load)}
 		}
 		return parts[r.Peer]
 	}
-	for _, r := range n.Readings {
+	for _, r := range n.Prefills {
 		part := of(r.Target)
-		part.Readings = append(part.Readings, r)
+		part.Prefills = append(part.Prefills, r)
 	}
 	for _, e := range n.FirstEvents {
 		part := of(e.Target)
@@ -102,7 +102,7 @@
 func (g *Gateway) answer(q *zinccovev1.Question, from netip.AddrPort) {
 	reply := &zinccovev1.Answer{Number: q.Number}
 	for _, t := range q.Targets {
-		if a, ok := g.placer.Answer(decodeQuestion(t)); ok {
+		if a, ok := g.placer.Reply(decodeQuestion(t)); ok {
 			reply.Targets = append(reply.Targets, encodeAnswer(a))
 		}
 	}
--- a/gateway/report.go
+++ b/gateway/report.go
@@ -13,7 +13,7 @@
 // encodeUses writes the use of this router by customers, as far as it fits a datagram.
 func encodeUses(hb *zinccovev1.Heartbeat, p *place.Placer) {
 	room := room{left: peer.MaxBody - proto.Size(hb)}
-	for customer, use := range p.Uses() {
+	for customer, use := range p.Usage() {
 		u := encodeUse(customer, use)
 		if room.takes(u) {
 			hb.Uses = append(hb.Uses, u)
@@ -21,19 +21,19 @@
 	}
 }
 
-func encodeUse(customer place.Hash, u place.Use) *zinccovev1.CustomerUse {
+func encodeUse(customer place.Hash, u place.Usage) *zinccovev1.CustomerUse {
 	return &zinccovev1.CustomerUse{
-		Customer: uint64(customer), Served: uint32(max(u.Served, 0)), Asked: uint32(max(u.Asked, 0)),
-		CallsServed: uint32(max(u.CallsServed, 0)), CallsAsked: uint32(max(u.CallsAsked, 0)),
+		Customer: uint64(customer), Served: uint32(max(u.Served, 0)), Asked: uint32(max(u.Requested, 0)),
+		CallsServed: uint32(max(u.CallsServed, 0)), CallsAsked: uint32(max(u.CallsRequested, 0)),
 	}
 }
 
-func decodeUse(u *zinccovev1.CustomerUse) place.Use {
-	return place.Use{Asked: int(u.Asked), Served: int(u.Served), CallsAsked: int(u.CallsAsked), CallsServed: int(u.CallsServed)}
+func decodeUse(u *zinccovev1.CustomerUse) place.Usage {
+	return place.Usage{Requested: int(u.Asked), Served: int(u.Served), CallsRequested: int(u.CallsAsked), CallsServed: int(u.CallsServed)}
 }
 
-func decodeUses(uses []*zinccovev1.CustomerUse) map[place.Hash]place.Use {
-	m := make(map[place.Hash]place.Use, len(uses))
+func decodeUses(uses []*zinccovev1.CustomerUse) map[place.Hash]place.Usage {
+	m := make(map[place.Hash]place.Usage, len(uses))
 	for _, u := range uses {
 		m[place.Hash(u.Customer)] = decodeUse(u)
 	}
@@ -41,15 +41,15 @@
 }
 
 // encodeNews moves news to a datagram as far as they fit.
-func encodeNews(hb *zinccovev1.Heartbeat, n *place.News) {
+func encodeNews(hb *zinccovev1.Heartbeat, n *place.Update) {
 	room := room{left: peer.MaxBody - proto.Size(hb)}
-	for len(n.Readings) > 0 {
-		reading := encodeReading(n.Readings[0])
+	for len(n.Prefills) > 0 {
+		reading := encodeReading(n.Prefills[0])
 		if !room.takes(reading) {
 			return
 		}
 		hb.Readings = append(hb.Readings, reading)
-		n.Readings = n.Readings[1:]
+		n.Prefills = n.Prefills[1:]
 	}
 	for target, load := range n.Loads {
 		l := &zinccovev1.TargetLoad{Target: uint64(target), Requests: uint32(load.Requests)}
@@ -61,7 +61,7 @@
 	}
 	for len(n.FirstEvents) > 0 {
 		e := n.FirstEvents[0]
-		event := &zinccovev1.FirstEvent{Target: uint64(e.Target), Number: e.Number, TookUs: uint32(e.Took.Microseconds()), ToRead: uint32(e.ToRead)}
+		event := &zinccovev1.FirstEvent{Target: uint64(e.Target), Number: e.Number, TookUs: uint32(e.Latency.Microseconds()), ToRead: uint32(e.PrefillTokens)}
 		if !room.takes(event) {
 			return
 		}
@@ -70,8 +70,8 @@
 	}
 }
 
-func encodeReading(r place.Reading) *zinccovev1.Reading {
-	return &zinccovev1.Reading{Target: uint64(r.Target), Number: r.Number, Unread: uint32(r.Unread), Copied: uint32(r.Copied), Parts: numbers(r.Parts)}
+func encodeReading(r place.Prefill) *zinccovev1.Reading {
+	return &zinccovev1.Reading{Target: uint64(r.Target), Number: r.Number, Unread: uint32(r.Tokens), Copied: uint32(r.CopiedTokens), Parts: numbers(r.PrefixParts)}
 }
 
 func numbers(hashes []place.Hash) []uint64 {
@@ -110,55 +110,55 @@
 func decodeReport(hb *zinccovev1.Heartbeat) place.Report {
 	var r place.Report
 	if len(hb.Loads) > 0 {
-		r.News.Loads = make(map[place.Hash]place.Load, len(hb.Loads))
+		r.Update.Loads = make(map[place.Hash]place.Load, len(hb.Loads))
 	}
 	for _, t := range hb.Loads {
-		r.News.Loads[place.Hash(t.Target)] = place.Load{Requests: int(t.Requests)}
+		r.Update.Loads[place.Hash(t.Target)] = place.Load{Requests: int(t.Requests)}
 	}
 	for _, x := range hb.Readings {
-		r.News.Readings = append(r.News.Readings, place.Reading{
-			Target: place.Hash(x.Target), Number: x.Number, Parts: hashes(x.Parts), Unread: int(x.Unread), Copied: int(x.Copied),
+		r.Update.Prefills = append(r.Update.Prefills, place.Prefill{
+			Target: place.Hash(x.Target), Number: x.Number, PrefixParts: hashes(x.Parts), Tokens: int(x.Unread), CopiedTokens: int(x.Copied),
 		})
 	}
 	for _, e := range hb.FirstEvents {
-		r.News.FirstEvents = append(r.News.FirstEvents, place.FirstEvent{
-			Target: place.Hash(e.Target), Number: e.Number, Took: time.Duration(e.TookUs) * time.Microsecond, ToRead: int(e.ToRead),
+		r.Update.FirstEvents = append(r.Update.FirstEvents, place.FirstEvent{
+			Target: place.Hash(e.Target), Number: e.Number, Latency: time.Duration(e.TookUs) * time.Microsecond, PrefillTokens: int(e.ToRead),
 		})
 	}
 	if len(hb.Uses) > 0 {
-		r.Uses = decodeUses(hb.Uses)
+		r.Usage = decodeUses(hb.Uses)
 	}
 	return r
 }
 
-func encodeQuestion(q place.Question) *zinccovev1.TargetQuestion {
-	t := &zinccovev1.TargetQuestion{Target: uint64(q.Target), Parts: numbers(q.Parts), Total: uint32(q.Total), First: q.First}
-	for _, size := range q.Sizes {
+func encodeQuestion(q place.Query) *zinccovev1.TargetQuestion {
+	t := &zinccovev1.TargetQuestion{Target: uint64(q.Target), Parts: numbers(q.PrefixParts), Total: uint32(q.PromptTokens), First: q.FirstHome}
+	for _, size := range q.PartTokens {
 		t.Sizes = append(t.Sizes, uint32(size))
 	}
 	return t
 }
 
 // decodeQuestion reads a question. Parts without a size are left out.
-func decodeQuestion(t *zinccovev1.TargetQuestion) place.Question {
-	q := place.Question{Target: place.Hash(t.Target), Total: int(t.Total), First: t.First}
-	q.Parts = hashes(t.Parts[:min(len(t.Parts), len(t.Sizes))])
-	for i := range q.Parts {
-		q.Sizes = append(q.Sizes, int(t.Sizes[i]))
+func decodeQuestion(t *zinccovev1.TargetQuestion) place.Query {
+	q := place.Query{Target: place.Hash(t.Target), PromptTokens: int(t.Total), FirstHome: t.First}
+	q.PrefixParts = hashes(t.Parts[:min(len(t.Parts), len(t.Sizes))])
+	for i := range q.PrefixParts {
+		q.PartTokens = append(q.PartTokens, int(t.Sizes[i]))
 	}
 	return q
 }
 
-func encodeAnswer(a place.Answer) *zinccovev1.TargetAnswer {
+func encodeAnswer(a place.Reply) *zinccovev1.TargetAnswer {
 	return &zinccovev1.TargetAnswer{
-		Target: uint64(a.Target), Waiting: uint32(a.Waiting), Requests: uint32(a.Requests), Unread: uint32(a.Unread), Slowness: float32(a.Slowness),
-		BaseMs: float32(a.Line.Base), PerTokenMs: float32(a.Line.PerToken), Learned: uint32(a.Line.Learned),
+		Target: uint64(a.Target), Waiting: uint32(a.PendingTokens), Requests: uint32(a.Requests), Unread: uint32(a.PrefillTokens), Slowness: float32(a.Slowness),
+		BaseMs: float32(a.LatencyModel.Base), PerTokenMs: float32(a.LatencyModel.PerToken), Learned: uint32(a.LatencyModel.Samples),
 	}
 }
 
-func decodeAnswer(t *zinccovev1.TargetAnswer) place.Answer {
-	return place.Answer{
-		Target: place.Hash(t.Target), Waiting: int(t.Waiting), Requests: int(t.Requests), Unread: int(t.Unread), Slowness: float64(t.Slowness),
-		Line: place.Line{Base: float64(t.BaseMs), PerToken: float64(t.PerTokenMs), Learned: int(t.Learned)},
+func decodeAnswer(t *zinccovev1.TargetAnswer) place.Reply {
+	return place.Reply{
+		Target: place.Hash(t.Target), PendingTokens: int(t.Waiting), Requests: int(t.Requests), PrefillTokens: int(t.Unread), Slowness: float64(t.Slowness),
+		LatencyModel: place.LatencyModel{Base: float64(t.BaseMs), PerToken: float64(t.PerTokenMs), Samples: int(t.Learned)},
 	}
 }
--- a/gateway/reports_test.go
+++ b/gateway/reports_test.go
@@ -30,9 +30,9 @@
 		}
 		m.Reports = append(m.Reports, r)
 	}
-	totals := place.Totals{Uses: make(map[place.Hash]place.Use), Others: 1000, Rest: place.Use{Asked: 1 << 30, Served: 1 << 30}, At: now}
+	totals := place.Totals{Usage: make(map[place.Hash]place.Usage), OtherCustomers: 1000, OtherUsage: place.Usage{Requested: 1 << 30, Served: 1 << 30}, AsOf: now}
 	for i := range toldCustomers {
-		totals.Uses[place.HashOf(fmt.Sprint(i))] = place.Use{Asked: 1 << 28, Served: 1 << 28, CallsAsked: 1 << 20, CallsServed: 1 << 20}
+		totals.Usage[place.HashOf(fmt.Sprint(i))] = place.Usage{Requested: 1 << 28, Served: 1 << 28, CallsRequested: 1 << 20, CallsServed: 1 << 20}
 	}
 	l.totals.put(group{}, "leader", totals)
 	for i := range 2 * maxLeaving {
@@ -50,8 +50,8 @@
 		cells += len(decodeCells(part.Report.Cells, now))
 		if part.Report.Totals != nil {
 			got := decodeTotals(part.Report.Totals, now)
-			told = len(got.Uses)
-			assert.Assert(t, got.Others == 1000 && got.Rest.Asked >= totals.Rest.Asked)
+			told = len(got.Usage)
+			assert.Assert(t, got.OtherCustomers == 1000 && got.OtherUsage.Requested >= totals.OtherUsage.Requested)
 		}
 	}
 	assert.Equal(t, cells, 40)
@@ -70,7 +70,7 @@
 	l.hearHost("b2", "dc-1", 1002)
 	customer := place.HashOf("c")
 	sums := func(asked int) place.Totals {
-		return place.Totals{Uses: map[place.Hash]place.Use{customer: {Asked: asked, Served: asked}}, At: clock.Now()}
+		return place.Totals{Usage: map[place.Hash]place.Usage{customer: {Requested: asked, Served: asked}}, AsOf: clock.Now()}
 	}
 	byCell := make(map[group][]string)
 	for i := range 200 {
@@ -91,8 +91,8 @@
 	for _, name := range []string{"b1", "b2"} {
 		l.hearTotals(l.host(name), presence.Across, sums(1000))
 	}
-	assert.Equal(t, l.dataCentreTotals(clock.Now()).Uses[customer].Asked, 100*cells)
-	assert.Equal(t, l.fleetTotals(clock.Now()).Uses[customer].Asked, 100*cells+1000)
+	assert.Equal(t, l.dataCentreTotals(clock.Now()).Usage[customer].Requested, 100*cells)
+	assert.Equal(t, l.fleetTotals(clock.Now()).Usage[customer].Requested, 100*cells+1000)
 }
 
 // TestEntriesOfRoutersThatAreGoneAreRemovedByWhoHearsTheOthers has some routers end, and then
--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -143,7 +143,7 @@
 func (l *loop) leavingTargets() []*zinccovev1.LeavingTarget {
 	now := l.gateway.clock.Now()
 	var list []*zinccovev1.LeavingTarget
-	for _, hash := range l.gateway.placer.SaidLeaving() {
+	for _, hash := range l.gateway.placer.AnnouncedDraining() {
 		if len(list) < maxLeaving {
 			list = append(list, &zinccovev1.LeavingTarget{Target: uint64(hash), Said: true})
 		}
@@ -185,7 +185,7 @@
 
 // hearSaid takes another router's word that a target said itself that it leaves.
 func (l *loop) hearSaid(target place.Hash, id, from string) {
-	if l.gateway.placer.HearLeaving(target) {
+	if l.gateway.placer.MarkDraining(target) {
 		l.gateway.log.Info().Str("target", id).Uint64("run", uint64(target)).Str("peer", from).Msg("target says that it leaves, as another router heard")
 	}
 }
@@ -245,7 +245,7 @@
 	l.gateway.placer.ChangeTargets(entries, gone, l.routes())
 	for _, t := range entries {
 		if target := (owner.Target{Hash: l.published[t.ID].hash, DataCentre: t.DataCentre}); l.answersFor(target) {
-			l.gateway.placer.Own(target.Hash)
+			l.gateway.placer.AddOwned(target.Hash)
 		}
 	}
 }
--- a/gateway/targets_test.go
+++ b/gateway/targets_test.go
@@ -122,16 +122,16 @@
 			assert.Equal(t, len(told), 1, "others are told that the run ended")
 			assert.Equal(t, told[0].Target, first)
 			leaves(first)
-			l.gateway.placer.SetPeer("b", place.Report{News: place.News{
-				Readings: []place.Reading{{Target: place.Hash(first), Number: 1, Unread: 1 << 20}},
+			l.gateway.placer.ApplyReport("b", place.Report{Update: place.Update{
+				Prefills: []place.Prefill{{Target: place.Hash(first), Number: 1, Tokens: 1 << 20}},
 				Loads:    map[place.Hash]place.Load{place.Hash(first): {Requests: 1000}},
 			}})
 			assert.Assert(t, placed(l, "again"))
-			d := l.gateway.placer.Place(ask("x"), place.Answer{Target: place.Hash(first), Waiting: 1 << 20, Requests: 1000, Slowness: 8})
+			d := l.gateway.placer.Place(ask("x"), place.Reply{Target: place.Hash(first), PendingTokens: 1 << 20, Requests: 1000, Slowness: 8})
 			assert.Assert(t, d.Run != nil)
-			assert.Equal(t, d.Told, 0)
+			assert.Equal(t, d.Replies, 0)
 			ways["change"](l, entry("again", 9, 1000))
-			assert.Assert(t, !d.Run.Declines(), "a late entry of the run that ended")
+			assert.Assert(t, !d.Run.Unavailable(), "a late entry of the run that ended")
 		})
 	}
 }
--- a/gateway/totals.go
+++ b/gateway/totals.go
@@ -30,7 +30,7 @@
 // drop forgets sums from before a time.
 func (b totalsBoard) drop(before time.Time) {
 	for g, of := range b {
-		maps.DeleteFunc(of, func(_ string, t place.Totals) bool { return t.At.Before(before) })
+		maps.DeleteFunc(of, func(_ string, t place.Totals) bool { return t.AsOf.Before(before) })
 		if len(of) == 0 {
 			delete(b, g)
 		}
@@ -40,7 +40,7 @@
 // latest returns the newest sum of a group.
 func (b totalsBoard) latest(g group) (t place.Totals, ok bool) {
 	for _, x := range b[g] {
-		if !ok || t.At.Before(x.At) {
+		if !ok || t.AsOf.Before(x.AsOf) {
 			t, ok = x, true
 		}
 	}
@@ -52,7 +52,7 @@
 func (l *loop) totalsOf(scope presence.Scope, now time.Time) (t place.Totals, ok bool) {
 	switch {
 	case scope == presence.Up:
-		t, ok = l.gateway.placer.NearTotals(now.Add(-totalsAge)), true
+		t, ok = l.gateway.placer.TotalsSince(now.Add(-totalsAge)), true
 	case scope == presence.Across:
 		t, ok = l.dataCentreTotals(now), true
 	case scope == presence.Down && l.role.Leads:
@@ -68,7 +68,7 @@
 
 // dataCentreTotals sums up the cells of this data centre.
 func (l *loop) dataCentreTotals(now time.Time) place.Totals {
-	sum := l.gateway.placer.NearTotals(now.Add(-totalsAge))
+	sum := l.gateway.placer.TotalsSince(now.Add(-totalsAge))
 	own := l.ownGroup()
 	for g := range l.totals {
 		if t, ok := l.totals.latest(g); ok && g.dataCentre == own.dataCentre && g != own {
@@ -112,8 +112,8 @@
 }
 
 func encodeTotals(t place.Totals, now time.Time) *zinccovev1.Totals {
-	enc := &zinccovev1.Totals{Others: uint32(max(t.Others, 0)), Rest: encodeUse(0, t.Rest), AgeMs: sinceMs(t.At, now)}
-	for customer, use := range t.Uses {
+	enc := &zinccovev1.Totals{Others: uint32(max(t.OtherCustomers, 0)), Rest: encodeUse(0, t.OtherUsage), AgeMs: sinceMs(t.AsOf, now)}
+	for customer, use := range t.Usage {
 		enc.Uses = append(enc.Uses, encodeUse(customer, use))
 	}
 	return enc
@@ -121,10 +121,10 @@
 
 func decodeTotals(enc *zinccovev1.Totals, now time.Time) place.Totals {
 	t := place.Totals{
-		Uses: decodeUses(enc.Uses), Others: int(enc.Others), At: now.Add(-time.Duration(enc.AgeMs) * time.Millisecond),
+		Usage: decodeUses(enc.Uses), OtherCustomers: int(enc.Others), AsOf: now.Add(-time.Duration(enc.AgeMs) * time.Millisecond),
 	}
 	if enc.Rest != nil {
-		t.Rest = decodeUse(enc.Rest)
+		t.OtherUsage = decodeUse(enc.Rest)
 	}
 	return t
 }
--- a/place/admit.go
+++ b/place/admit.go
@@ -33,7 +33,7 @@
 	switch {
 	case d.Predicted <= limit:
 		return true
-	case d.Backlog == 0 && d.Free:
+	case d.Backlog == 0 && d.HasFreeSlot:
 		return !st.ahead || !st.contested && d.small(objective)
 	}
 	return s.speed.predict(0)+d.Wait <= time.Duration(float64(limit)*longShare)
@@ -41,7 +41,7 @@
 
 // refuse refuses a request; its caller may come back when the target that was
 // chosen is expected to make the limit, after the least time at the earliest.
-func (p *Placer) refuse(r Request, d Decision, asks Use, limit, least time.Duration, now time.Time) Decision {
+func (p *Placer) refuse(r Request, d Decision, asks Usage, limit, least time.Duration, now time.Time) Decision {
 	p.note(r.Customer, asked(r, asks), now)
 	d.Reason = Overloaded
 	d.RetryAfter = min(max(d.Predicted-limit, least), mostRetry)
@@ -50,9 +50,9 @@
 
 // asked is what a request adds to what its customer asks for: nothing if it was
 // counted with an earlier attempt.
-func asked(r Request, asks Use) Use {
+func asked(r Request, asks Usage) Usage {
 	if len(r.Tried) > 0 {
-		return Use{}
+		return Usage{}
 	}
 	return asks
 }
@@ -68,5 +68,5 @@
 
 // small reports whether a prompt costs others little at its target.
 func (d *Decision) small(objective time.Duration) bool {
-	return d.Shared <= 0 && d.Copied == 0 && d.Predicted <= time.Duration(float64(objective)*idleShare)
+	return d.SharedTokens <= 0 && d.CopiedTokens == 0 && d.Predicted <= time.Duration(float64(objective)*idleShare)
 }
--- a/place/return_test.go
+++ b/place/backoff_test.go
@@ -68,7 +68,7 @@
 			if now.Sub(began) >= backoff {
 				away++
 			}
-			d.Run.Notice(notice.Notice{Backoff: backoff})
+			d.Run.ApplyNotice(notice.Notice{Backoff: backoff})
 			d.Run.End(Refused)
 			at(now.Add(leastRetry), func() { come(first) })
 			return
--- a/place/calls.go
+++ b/place/call_shares.go
@@ -14,12 +14,12 @@
 
 // compareCalls compares customers by their calls. One that asked for none in the window
 // does not count, whatever it is served for earlier ones.
-func compareCalls(uses map[Hash]Use) callShares {
-	calls := demandOf(uses, func(u Use) (asked, served int) {
-		if u.CallsAsked == 0 {
+func compareCalls(uses map[Hash]Usage) callShares {
+	calls := demandOf(uses, func(u Usage) (asked, served int) {
+		if u.CallsRequested == 0 {
 			return 0, 0
 		}
-		return u.CallsAsked, u.CallsServed
+		return u.CallsRequested, u.CallsServed
 	})
 	return callShares{even: calls.level(calls.served), pressed: calls.pressed()}
 }
--- a/place/circuit.go
+++ b/place/circuit.go
@@ -29,7 +29,7 @@
 
 func (c *circuit) note(r Result, now time.Time) {
 	switch r {
-	case Answered, Faulty, Refused:
+	case Answered, ErrorResponse, Refused:
 		*c = circuit{}
 	case Failed, Unreachable:
 		c.failures++
--- a/place/copy.go
+++ b/place/copy.go
@@ -41,7 +41,7 @@
 // is known here.
 func (s *service) unread(t *target, pr *prompt, known told, first bool, now time.Time) int {
 	if a, ok := known[t.hash]; ok {
-		return min(a.Unread, pr.unread(&t.kept, s.engine.MemoryTokens, false))
+		return min(a.PrefillTokens, pr.unread(&t.kept, s.engine.MemoryTokens, false))
 	}
 	return pr.unread(&t.kept, s.engine.MemoryTokens, first && t.warm(now))
 }
--- a/place/copy_test.go
+++ b/place/copy_test.go
@@ -76,14 +76,14 @@
 	d := s.Place(s.request)
 	assert.Equal(t, d.Rank, 1)
 	assert.Equal(t, d.CopyFrom, s.first.Address)
-	assert.Equal(t, d.Copied, copiedTokens)
-	assert.Equal(t, d.Unread, ownTokens)
-	assert.Equal(t, d.Shared, 0)
-	news := s.TakeNews()
-	assert.Equal(t, news.Readings[len(news.Readings)-1].Copied, copiedTokens)
+	assert.Equal(t, d.CopiedTokens, copiedTokens)
+	assert.Equal(t, d.PrefillTokens, ownTokens)
+	assert.Equal(t, d.SharedTokens, 0)
+	news := s.TakeUpdate()
+	assert.Equal(t, news.Prefills[len(news.Prefills)-1].CopiedTokens, copiedTokens)
 	again := s.Place(s.request)
 	assert.Equal(t, again.Rank, 1)
-	assert.Equal(t, again.Copied, 0, "it keeps them now")
+	assert.Equal(t, again.CopiedTokens, 0, "it keeps them now")
 }
 
 // TestCopyIsNeverFree compares the expected times of a home that copies and of one that
@@ -98,7 +98,7 @@
 	slow := newCopyingSite(t, 1000)
 	slow.fill()
 	d := slow.Place(slow.request)
-	assert.Equal(t, d.Copied, 0, "copies that take longer than reading are not made")
+	assert.Equal(t, d.CopiedTokens, 0, "copies that take longer than reading are not made")
 }
 
 // TestFirstEventsAfterCopiesTellOfReadingOnly has a copy take as long as expected.
@@ -123,12 +123,12 @@
 		t.Run(name, func(t *testing.T) {
 			s := newCopyingSite(t, testCopyRate)
 			change(s)
-			questions := s.Questions(s.request)
+			questions := s.Queries(s.request)
 			assert.Equal(t, questions[len(questions)-1].Target, s.first.hash)
 			d := s.Place(s.request)
 			assert.Assert(t, d.Run.Target.ID != s.first.ID)
 			assert.Equal(t, d.CopyFrom, s.first.Address)
-			assert.Equal(t, d.Unread, ownTokens)
+			assert.Equal(t, d.PrefillTokens, ownTokens)
 		})
 	}
 }
@@ -162,9 +162,9 @@
 			change(s)
 			d := s.Place(s.request)
 			assert.Assert(t, d.Run != nil)
-			assert.Equal(t, d.Copied, 0)
+			assert.Equal(t, d.CopiedTokens, 0)
 			assert.Assert(t, !d.CopyFrom.IsValid())
-			assert.Equal(t, d.Unread, copiedTokens+ownTokens)
+			assert.Equal(t, d.PrefillTokens, copiedTokens+ownTokens)
 		})
 	}
 }
@@ -184,8 +184,8 @@
 	s.fill()
 	d := s.Place(s.request)
 	assert.Equal(t, d.Rank, 1)
-	assert.Equal(t, d.Unread, copiedTokens+ownTokens)
-	assert.Equal(t, len(s.Questions(s.request)), maxHomes)
+	assert.Equal(t, d.PrefillTokens, copiedTokens+ownTokens)
+	assert.Equal(t, len(s.Queries(s.request)), maxHomes)
 }
 
 func TestShortPartsAreReadNotCopied(t *testing.T) {
@@ -196,5 +196,5 @@
 	run.state.queue.add(60_000)
 	d := s.Place(s.request)
 	assert.Equal(t, d.Rank, 1)
-	assert.Equal(t, d.Copied, 0)
+	assert.Equal(t, d.CopiedTokens, 0)
 }
--- a/place/flood_test.go
+++ b/place/flood_test.go
@@ -85,18 +85,18 @@
 		return
 	}
 	c.got += costOf(q.Call)
-	f.pending[d.Run] = f.engines[d.Run.Target.ID].firstEvent(r.clock.Now(), d.Unread)
+	f.pending[d.Run] = f.engines[d.Run.Target.ID].firstEvent(r.clock.Now(), d.PrefillTokens)
 }
 
 // owner returns the router that answers for a target.
 func (r *routers) owner(target Hash) int { return int(uint64(target) % uint64(len(r.placers))) }
 
 // answers has the routers answer that a request's targets belong to.
-func (r *routers) answers(router int, q Request) []Answer {
-	var list []Answer
-	for _, question := range r.placers[router].Questions(q) {
+func (r *routers) answers(router int, q Request) []Reply {
+	var list []Reply
+	for _, question := range r.placers[router].Queries(q) {
 		owner := r.owner(question.Target)
-		if a, ok := r.placers[owner].Answer(question); ok && owner != router {
+		if a, ok := r.placers[owner].Reply(question); ok && owner != router {
 			list = append(list, a)
 		}
 	}
@@ -104,11 +104,11 @@
 }
 
 // newsFor is the part of a router's news that concerns another one.
-func (r *routers) newsFor(owner int, n News) News {
-	part := News{Loads: make(map[Hash]Load)}
-	for _, x := range n.Readings {
+func (r *routers) newsFor(owner int, n Update) Update {
+	part := Update{Loads: make(map[Hash]Load)}
+	for _, x := range n.Prefills {
 		if r.owner(x.Target) == owner {
-			part.Readings = append(part.Readings, x)
+			part.Prefills = append(part.Prefills, x)
 		}
 	}
 	for _, x := range n.FirstEvents {
@@ -129,15 +129,15 @@
 		return
 	}
 	for i, p := range r.placers {
-		news := p.TakeNews()
+		news := p.TakeUpdate()
 		var report Report
 		if now%tellUses == 0 {
-			report.Uses = p.Uses()
+			report.Usage = p.Usage()
 		}
 		for j, other := range r.placers {
 			if i != j {
-				report.News = r.newsFor(j, news)
-				other.SetPeer(fmt.Sprint(i), report)
+				report.Update = r.newsFor(j, news)
+				other.ApplyReport(fmt.Sprint(i), report)
 			}
 		}
 	}
--- a/place/names_test.go
+++ b/place/hash_test.go
@@ -30,8 +30,8 @@
 	list := targets("plain", 2)
 	list[0].ID, list[1].ID = a, b
 	p.SetTargets(list, table(t))
-	p.SetPeer("r", Report{News: News{Loads: map[Hash]Load{HashOf(a): {Requests: 1000}}}})
-	assert.Assert(t, p.HearLeaving(HashOf(a)))
+	p.ApplyReport("r", Report{Update: Update{Loads: map[Hash]Load{HashOf(a): {Requests: 1000}}}})
+	assert.Assert(t, p.MarkDraining(HashOf(a)))
 	id, known := p.TargetID(HashOf(b))
 	assert.Assert(t, known && id == b)
 	for range 20 {
--- a/place/health.go
+++ b/place/health.go
@@ -36,9 +36,9 @@
 func (h *health) note(r Result, now time.Time) {
 	var failure float64
 	switch r {
-	case Failed, Unreachable, Faulty:
+	case Failed, Unreachable, ErrorResponse:
 		failure = 1
-	case Cancelled, Withdrawn, Refused, Replaced:
+	case Cancelled, NotSent, Refused, Replaced:
 		return
 	}
 	h.failed = h.rate(now)*(1-failureWeight) + failure*failureWeight
@@ -61,15 +61,15 @@
 	return rate > greyRatio*others/float64(len(s.targets)-1)
 }
 
-// LeastSilence is how long neither the routers nor the targets of a data centre
+// MinSilence is how long neither the routers nor the targets of a data centre
 // may at least be heard until it is taken as cut off: several heartbeats, and longer
 // than a busy engine is silent between two events.
-const LeastSilence = 450 * time.Millisecond
+const MinSilence = 450 * time.Millisecond
 
-// SetBeats takes when a router of each other data centre was last heard, and
+// SetHeartbeats takes when a router of each other data centre was last heard, and
 // returns the data centres that seem to be cut off from here, as nothing of them was heard
 // for a time. Their targets are used only if there are no others.
-func (p *Placer) SetBeats(beats map[string]time.Time, silence time.Duration) []string {
+func (p *Placer) SetHeartbeats(beats map[string]time.Time, silence time.Duration) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -92,15 +92,15 @@
 	return p.cut[r.Target.DataCentre]
 }
 
-// HeardFrom notes that a router of a data centre was heard, other than by a heartbeat.
-func (p *Placer) HeardFrom(dataCentre string) {
+// RecordContact notes that a router of a data centre was heard, other than by a heartbeat.
+func (p *Placer) RecordContact(dataCentre string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.heard[dataCentre] = p.clock.Now()
 }
 
-// Heard notes that bytes arrived from the target.
-func (r *Run) Heard() {
+// RecordReceived notes that bytes arrived from the target.
+func (r *Run) RecordReceived() {
 	p := r.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/place/home.go
+++ b/place/home.go
@@ -23,15 +23,15 @@
 	st := p.currentShares(now).standing(r.Customer)
 	best := s.cheapest(s.holders(homes, left, &pr, known, now), &pr, now)
 	d := Decision{
-		Copied: best.copied, CopyFrom: best.from,
-		Rank: best.rank, Share: st.part, Above: st.above,
-		Backlog: best.backlog, Unread: best.unread, Shared: best.unread - pr.own, Outstanding: best.target.outstanding(),
-		Wait: best.wait, Predicted: best.predicted, Slowness: best.slow, Told: len(known), Age: p.oldestReport(now),
-		Free: best.target.outstanding() < best.target.Slots,
+		CopiedTokens: best.copied, CopyFrom: best.from,
+		Rank: best.rank, Share: st.part, AboveShare: st.above,
+		Backlog: best.backlog, PrefillTokens: best.unread, SharedTokens: best.unread - pr.own, Outstanding: best.target.outstanding(),
+		Wait: best.wait, Predicted: best.predicted, Slowness: best.slow, Replies: len(known), ReportAge: p.oldestReport(now),
+		HasFreeSlot: best.target.outstanding() < best.target.Slots,
 	}
 	limit := time.Duration(float64(r.Objective) * admitShare * st.part)
 	if !s.admits(d, limit, r.Objective, st) {
-		return p.refuse(r, d, Use{Asked: costOf(r.Call)}, limit, leastRetry, now)
+		return p.refuse(r, d, Usage{Requested: costOf(r.Call)}, limit, leastRetry, now)
 	}
 	return p.accept(s, r, &pr, best.target, d, now)
 }
@@ -39,12 +39,12 @@
 // accept counts a request at a target.
 func (p *Placer) accept(s *service, r Request, pr *prompt, t *target, d Decision, now time.Time) Decision {
 	cost := costOf(r.Call)
-	t.kept.touch(pr.shared, d.Unread+d.Copied)
+	t.kept.touch(pr.shared, d.PrefillTokens+d.CopiedTokens)
 	t.kept.trim(s.engine.MemoryTokens)
-	d = p.begin(t, r, d, Use{Asked: cost}, Use{Served: cost}, now)
+	d = p.begin(t, r, d, Usage{Requested: cost}, Usage{Served: cost}, now)
 	p.numbered++
 	d.Run.number = p.numbered
-	p.announce(Reading{Target: t.hash, Number: p.numbered, Parts: pr.shared, Unread: d.Unread, Copied: d.Copied})
+	p.announce(Prefill{Target: t.hash, Number: p.numbered, PrefixParts: pr.shared, Tokens: d.PrefillTokens, CopiedTokens: d.CopiedTokens})
 	return d
 }
 
--- a/place/idle_test.go
+++ b/place/idle_test.go
@@ -12,14 +12,14 @@
 func TestIdleEnginesTakeCustomersAheadUnlessOthersGoShort(t *testing.T) {
 	for _, short := range []bool{false, true} {
 		p, _ := newTestPlacer(t)
-		uses := map[Hash]Use{HashOf("ahead"): {Asked: 9_000_000, Served: 4_000_000}, HashOf("behind"): {Asked: 1_000_000, Served: 800_000}}
+		uses := map[Hash]Usage{HashOf("ahead"): {Requested: 9_000_000, Served: 4_000_000}, HashOf("behind"): {Requested: 1_000_000, Served: 800_000}}
 		for i := range Hash(9) {
-			uses[i] = Use{Asked: 1_000_000, Served: 800_000}
+			uses[i] = Usage{Requested: 1_000_000, Served: 800_000}
 		}
 		if short {
-			uses[HashOf("behind")] = Use{Asked: 1_000_000, Served: 300_000}
+			uses[HashOf("behind")] = Usage{Requested: 1_000_000, Served: 300_000}
 		}
-		p.SetPeer("other", Report{Uses: uses})
+		p.ApplyReport("other", Report{Usage: uses})
 		p.Place(ask(call("part", 500, 10), "behind")).Run.End(Answered)
 		d := p.Place(ask(call("part", 500, 4000), "ahead"))
 		assert.Equal(t, d.Run == nil, short)
--- a/place/speed.go
+++ b/place/latency.go
@@ -15,15 +15,15 @@
 // A router of a large fleet sees a request a second, and would take half a minute to learn.
 // So routers that have learned little take the line of one that learned more, which comes with
 // its answers about targets.
-type speed struct{ Line }
+type speed struct{ LatencyModel }
 
-// Line is the time to the first event as a function of tokens.
-type Line struct {
+// LatencyModel is the time to the first event as a function of tokens.
+type LatencyModel struct {
 	// Base is the time of a prompt that is kept whole in milliseconds, PerToken what each
 	// token adds.
 	Base, PerToken float64
-	// Learned counts the requests that the line was learned from.
-	Learned int
+	// Samples counts the requests that the line was learned from.
+	Samples int
 }
 
 const (
@@ -57,35 +57,35 @@
 	leanDown = 1.2
 )
 
-func newSpeed() *speed { return &speed{Line{Base: guessBase}} }
+func newSpeed() *speed { return &speed{LatencyModel{Base: guessBase}} }
 
 // guess sets the slope from the stated tokens a second of one engine, until
 // answers tell better.
 func (s *speed) guess(tokensPerSecond float64) {
-	if s.Learned < minRequests && tokensPerSecond > 0 {
+	if s.Samples < minRequests && tokensPerSecond > 0 {
 		s.PerToken = 1000 / (tokensPerSecond * readPart)
 	}
 }
 
 // adopt takes the line of another router that has learned more, until this one has learned
 // enough itself.
-func (s *speed) adopt(l Line) {
-	if s.Learned < minRequests && s.Learned < l.Learned && l.PerToken > 0 && l.Base >= leastBase {
-		s.Line = l
+func (s *speed) adopt(l LatencyModel) {
+	if s.Samples < minRequests && s.Samples < l.Samples && l.PerToken > 0 && l.Base >= leastBase {
+		s.LatencyModel = l
 	}
 }
 
 // learn takes the time to the first event of a request that was sent with so
 // many tokens to read before it, its own included.
 func (s *speed) learn(tokens int, took time.Duration) {
-	s.Learned++
+	s.Samples++
 	step := 1.0
 	if took < s.predict(tokens) {
 		step = -leanDown
 	}
 	s.Base = max(s.Base+step*baseStep, leastBase)
 	slope := step * slopeStep
-	if step < 0 && s.Learned < minRequests {
+	if step < 0 && s.Samples < minRequests {
 		slope = -firstDown
 	}
 	s.PerToken *= 1 + slope*min(float64(tokens)/fullStep, 1)
--- a/place/line_test.go
+++ b/place/learning_test.go
@@ -84,7 +84,7 @@
 				refusals++
 				continue
 			}
-			took := idleBase + time.Duration(d.Unread)*idlePerToken
+			took := idleBase + time.Duration(d.PrefillTokens)*idlePerToken
 			l.due = append(l.due, dueEvent{l.clock.Now().Add(took), d.Run})
 			if now >= after {
 				ratios = append(ratios, float64(d.Predicted)/float64(took))
@@ -110,16 +110,16 @@
 	l.due = left
 }
 
-func (l *learners) answers(p *Placer, q Request) []Answer {
-	var list []Answer
-	for _, question := range p.Questions(q) {
+func (l *learners) answers(p *Placer, q Request) []Reply {
+	var list []Reply
+	for _, question := range p.Queries(q) {
 		owner := l.owner(question.Target)
 		if owner == p {
 			continue
 		}
-		if a, ok := owner.Answer(question); ok {
+		if a, ok := owner.Reply(question); ok {
 			if !l.shares {
-				a.Line = Line{}
+				a.LatencyModel = LatencyModel{}
 			}
 			list = append(list, a)
 		}
@@ -129,17 +129,17 @@
 
 // tell tells the routers that answer for targets what a router did there.
 func (l *learners) tell(router int, p *Placer) {
-	n := p.TakeNews()
-	parts := make(map[*Placer]*News)
-	of := func(target Hash) *News {
+	n := p.TakeUpdate()
+	parts := make(map[*Placer]*Update)
+	of := func(target Hash) *Update {
 		owner := l.owner(target)
 		if parts[owner] == nil {
-			parts[owner] = &News{Loads: make(map[Hash]Load)}
+			parts[owner] = &Update{Loads: make(map[Hash]Load)}
 		}
 		return parts[owner]
 	}
-	for _, x := range n.Readings {
-		of(x.Target).Readings = append(of(x.Target).Readings, x)
+	for _, x := range n.Prefills {
+		of(x.Target).Prefills = append(of(x.Target).Prefills, x)
 	}
 	for _, x := range n.FirstEvents {
 		of(x.Target).FirstEvents = append(of(x.Target).FirstEvents, x)
@@ -149,7 +149,7 @@
 	}
 	for owner, part := range parts {
 		if owner != p {
-			owner.SetPeer(fmt.Sprint(router), Report{News: *part})
+			owner.ApplyReport(fmt.Sprint(router), Report{Update: *part})
 		}
 	}
 }
@@ -176,15 +176,15 @@
 	s := newSpeed()
 	s.guess(1000)
 	s.learn(5000, time.Second)
-	own := s.Line
-	for _, l := range []Line{{}, {Base: 50, PerToken: 1, Learned: 1}, {Base: 50, Learned: 100}, {PerToken: 1, Learned: 100}} {
+	own := s.LatencyModel
+	for _, l := range []LatencyModel{{}, {Base: 50, PerToken: 1, Samples: 1}, {Base: 50, Samples: 100}, {PerToken: 1, Samples: 100}} {
 		s.adopt(l)
-		assert.Equal(t, s.Line, own)
+		assert.Equal(t, s.LatencyModel, own)
 	}
-	other := Line{Base: 60, PerToken: 0.02, Learned: 7}
+	other := LatencyModel{Base: 60, PerToken: 0.02, Samples: 7}
 	s.adopt(other)
-	assert.Equal(t, s.Line, other)
-	s.Learned = minRequests
-	s.adopt(Line{Base: 50, PerToken: 5, Learned: 1000})
+	assert.Equal(t, s.LatencyModel, other)
+	s.Samples = minRequests
+	s.adopt(LatencyModel{Base: 50, PerToken: 5, Samples: 1000})
 	assert.Equal(t, s.PerToken, 0.02, "it has learned enough itself")
 }
--- a/place/notices.go
+++ b/place/notices.go
@@ -27,8 +27,8 @@
 	mostNotices = 4096
 )
 
-// Notice takes what the target said of itself in an answer, and returns what of it is news.
-func (r *Run) Notice(n notice.Notice) (news notice.Notice) {
+// ApplyNotice takes what the target said of itself in an answer, and returns what of it is news.
+func (r *Run) ApplyNotice(n notice.Notice) (news notice.Notice) {
 	if n == (notice.Notice{}) {
 		return n
 	}
@@ -38,9 +38,9 @@
 	return p.notice(r.state.hash, n)
 }
 
-// HearLeaving takes another router's word that a run of a target said that it leaves, and
+// MarkDraining takes another router's word that a run of a target said that it leaves, and
 // reports whether that is news. The run need not be known yet.
-func (p *Placer) HearLeaving(target Hash) (news bool) {
+func (p *Placer) MarkDraining(target Hash) (news bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.notice(target, notice.Notice{Leaving: true}).Leaving
@@ -90,9 +90,9 @@
 	}
 }
 
-// SaidLeaving returns the listed targets that said that they leave while their entries do
+// AnnouncedDraining returns the listed targets that said that they leave while their entries do
 // not say so.
-func (p *Placer) SaidLeaving() []Hash {
+func (p *Placer) AnnouncedDraining() []Hash {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []Hash
@@ -148,7 +148,7 @@
 	}
 	left = max(left, leastRetry)
 	spread := time.Duration(returnPart * rand.Float64() * float64(left))
-	return Decision{Reason: BackingOff, RetryAfter: left + spread, First: first.ID}
+	return Decision{Reason: BackingOff, RetryAfter: left + spread, FirstAvailable: first.ID}
 }
 
 // forgetNotices forgets what runs said that have not been listed for long.
--- a/place/notices_test.go
+++ b/place/notices_test.go
@@ -46,9 +46,9 @@
 			p, clock := newTestPlacer(t)
 			run := runAt(t, p, service)
 			id := run.Target.ID
-			assert.Equal(t, run.Notice(notice.Notice{Leaving: true}), notice.Notice{Leaving: true})
-			assert.Equal(t, run.Notice(notice.Notice{Leaving: true}), notice.Notice{}, "told twice")
-			assert.Assert(t, run.Declines(), "it may have been placed before, and not sent yet")
+			assert.Equal(t, run.ApplyNotice(notice.Notice{Leaving: true}), notice.Notice{Leaving: true})
+			assert.Equal(t, run.ApplyNotice(notice.Notice{Leaving: true}), notice.Notice{}, "told twice")
+			assert.Assert(t, run.Unavailable(), "it may have been placed before, and not sent yet")
 			run.End(Answered)
 			all := append(targets("model", 9), targets("plain", 3)...)
 			without := make([]*roster.Target, 0, len(all))
@@ -67,7 +67,7 @@
 				p.SetTargets(l.list, table(t))
 				assert.Equal(t, placedAt(p, service)[id], 0, l.name)
 			}
-			assert.Equal(t, len(p.SaidLeaving()), 1)
+			assert.Equal(t, len(p.AnnouncedDraining()), 1)
 			for _, target := range all {
 				if target.ID == id {
 					target.Started = clock.Now()
@@ -75,7 +75,7 @@
 			}
 			p.SetTargets(all, table(t))
 			assert.Assert(t, placedAt(p, service)[id] > 0, "another run is not used")
-			assert.Equal(t, len(p.SaidLeaving()), 0)
+			assert.Equal(t, len(p.AnnouncedDraining()), 0)
 		})
 	}
 }
@@ -85,8 +85,8 @@
 func TestWordsOfLeavingMayComeBeforeTheTable(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	p.SetTargets(nil, table(t))
-	assert.Assert(t, p.HearLeaving(HashOf("plain-1")))
-	assert.Assert(t, !p.HearLeaving(HashOf("plain-1")))
+	assert.Assert(t, p.MarkDraining(HashOf("plain-1")))
+	assert.Assert(t, !p.MarkDraining(HashOf("plain-1")))
 	p.SetTargets(targets("plain", 3), table(t))
 	used := placedAt(p, "plain")
 	assert.Equal(t, used["plain-1"], 0)
@@ -96,7 +96,7 @@
 func TestNoticesOfRunsThatAreGoneAreForgotten(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	for i := range mostNotices + 10 {
-		p.HearLeaving(HashOf(fmt.Sprint(i)))
+		p.MarkDraining(HashOf(fmt.Sprint(i)))
 	}
 	assert.Equal(t, len(p.notices), mostNotices)
 	clock.Advance(noticesFor)
@@ -108,7 +108,7 @@
 func TestLastTargetThatLeavesIsNotUsed(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	for _, target := range targets("plain", 3) {
-		p.HearLeaving(HashOf(target.Incarnation()))
+		p.MarkDraining(HashOf(target.Incarnation()))
 	}
 	assert.Equal(t, placedAt(p, "plain")[string(NoTarget)], 60)
 }
@@ -122,8 +122,8 @@
 			p, clock := newTestPlacer(t)
 			run := runAt(t, p, service)
 			id := run.Target.ID
-			assert.Equal(t, run.Notice(notice.Notice{Backoff: backoff}), notice.Notice{Backoff: backoff})
-			assert.Assert(t, run.Declines(), "it may have been placed before, and not sent yet")
+			assert.Equal(t, run.ApplyNotice(notice.Notice{Backoff: backoff}), notice.Notice{Backoff: backoff})
+			assert.Assert(t, run.Unavailable(), "it may have been placed before, and not sent yet")
 			run.End(Refused)
 			clock.Advance(backoff - time.Millisecond)
 			p.SetTargets(append(targets("model", 9), targets("plain", 3)...), table(t))
@@ -150,7 +150,7 @@
 	for range 50 {
 		d := p.Place(r)
 		assert.Equal(t, d.Reason, BackingOff)
-		assert.Equal(t, d.First, "plain-1")
+		assert.Equal(t, d.FirstAvailable, "plain-1")
 		assert.Assert(t, d.RetryAfter >= 1500*time.Millisecond && d.RetryAfter <= 2*time.Second, d.RetryAfter)
 		told[d.RetryAfter] = true
 	}
@@ -161,7 +161,7 @@
 	assert.Equal(t, p.Place(r).Run.Target.ID, "plain-1")
 	assert.Equal(t, p.Backoff("plain"), time.Duration(0))
 	for _, target := range targets("plain", 3) {
-		p.HearLeaving(HashOf(target.ID))
+		p.MarkDraining(HashOf(target.ID))
 	}
 	assert.Equal(t, p.Place(r).Reason, NoTarget, "none of them takes requests again")
 	assert.Equal(t, p.Backoff("plain"), time.Duration(0))
@@ -172,7 +172,7 @@
 	p, clock := newTestPlacer(t)
 	p.SetTargets(targets("model", 1), table(t))
 	run := runAt(t, p, "model")
-	run.Notice(notice.Notice{Backoff: time.Second})
+	run.ApplyNotice(notice.Notice{Backoff: time.Second})
 	run.End(Refused)
 	clock.Advance(time.Second)
 	r := ask(call("some", 1000, 10), "c")
@@ -203,7 +203,7 @@
 	list[0].Slots = 0
 	p.SetTargets(list, table(t))
 	run := runAt(t, p, "plain")
-	run.Notice(notice.Notice{Backoff: time.Second})
+	run.ApplyNotice(notice.Notice{Backoff: time.Second})
 	run.End(Refused)
 	clock.Advance(time.Second)
 	runAt(t, p, "plain").End(Answered)
--- a/place/peers.go
+++ b/place/peers.go
@@ -15,15 +15,15 @@
 
 // Report is what another router announces.
 type Report struct {
-	// Uses is the use of the router by customers; nil leaves the last one.
-	Uses map[Hash]Use
-	// News is what it did at targets for which this router answers.
-	News News
+	// Usage is the use of the router by customers; nil leaves the last one.
+	Usage map[Hash]Usage
+	// Update is what it did at targets for which this router answers.
+	Update Update
 }
 
 // report is what is known of another router.
 type report struct {
-	uses  map[Hash]Use
+	uses  map[Hash]Usage
 	loads map[Hash]loadAt
 	at    time.Time
 	// usesAt is when the uses were told.
@@ -36,8 +36,8 @@
 	at time.Time
 }
 
-// SetPeer takes a report of another router.
-func (p *Placer) SetPeer(router string, r Report) {
+// ApplyReport takes a report of another router.
+func (p *Placer) ApplyReport(router string, r Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.peers[router]
@@ -47,16 +47,16 @@
 	}
 	now := p.clock.Now()
 	known.at = now
-	if r.Uses != nil {
+	if r.Usage != nil {
 		p.othersUses.remove(known.uses)
-		known.uses, known.usesAt = r.Uses, now
+		known.uses, known.usesAt = r.Usage, now
 		p.othersUses.add(known.uses)
 	}
-	p.hear(HashOf(router), r.News, known, now)
+	p.hear(HashOf(router), r.Update, known, now)
 }
 
-// ForgetPeer drops what is known of a router that is not reachable.
-func (p *Placer) ForgetPeer(router string) {
+// RemovePeer drops what is known of a router that is not reachable.
+func (p *Placer) RemovePeer(router string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.peers[router]
--- a/place/place.go
+++ b/place/place.go
@@ -51,9 +51,9 @@
 // Options configure a placer.
 type Options struct {
 	Clock clockwork.Clock
-	// Warm tells that the fleet ran before this router started, so that the
+	// AssumeCached tells that the fleet ran before this router started, so that the
 	// targets that it finds keep parts of prompts of which it knows nothing.
-	Warm bool
+	AssumeCached bool
 	// Regions are those of the data centres by name; data centres that are missing are in
 	// none.
 	Regions map[string]string
@@ -114,39 +114,39 @@
 	Reason     Reason
 	RetryAfter time.Duration
 
-	// First is the id of the target that takes requests first when all want a backoff.
-	First string
+	// FirstAvailable is the id of the target that takes requests first when all want a backoff.
+	FirstAvailable string
 	// Rank is the place of the target in the order of homes, 0 for the first.
 	Rank int
 	// Share is the part of the usual limit that the customer was given, Above tells
 	// that it has more than it is owed.
-	Share float64
-	Above bool
-	// Backlog is the number of tokens that wait to be read at the target, Unread
+	Share      float64
+	AboveShare bool
+	// Backlog is the number of tokens that wait to be read at the target, PrefillTokens
 	// what the request adds to it.
-	Backlog int
-	Unread  int
-	// Shared is the part of Unread that other prompts share.
-	Shared int
-	// Copied is the number of tokens that the target copies from the one at CopyFrom in
+	Backlog       int
+	PrefillTokens int
+	// SharedTokens is the part of PrefillTokens that other prompts share.
+	SharedTokens int
+	// CopiedTokens is the number of tokens that the target copies from the one at CopyFrom in
 	// place of reading them.
-	Copied   int
-	CopyFrom netip.AddrPort
-	// Outstanding is the number of requests at the target, Free tells that it has a free
+	CopiedTokens int
+	CopyFrom     netip.AddrPort
+	// Outstanding is the number of requests at the target, HasFreeSlot tells that it has a free
 	// slot.
 	Outstanding int
-	Free        bool
+	HasFreeSlot bool
 	// Wait is the expected time until the target begins to read the prompt,
 	// Predicted that to the first event. Slowness is the part in both of what this
 	// target takes longer than others.
 	Wait      time.Duration
 	Predicted time.Duration
 	Slowness  float64
-	// Told is the number of targets of which the router that answers for them told
+	// Replies is the number of targets of which the router that answers for them told
 	// how things are.
-	Told int
-	// Age is the age of the oldest report of another router that was counted.
-	Age time.Duration
+	Replies int
+	// ReportAge is the age of the oldest report of another router that was counted.
+	ReportAge time.Duration
 }
 
 // Placer chooses targets. It is safe for concurrent use.
@@ -169,7 +169,7 @@
 	shares shares
 	// news is what others are to be told, changed are the targets at which the requests
 	// of this router changed.
-	news    News
+	news    Update
 	changed map[Hash]*target
 	// busy are the targets with requests of this router.
 	busy map[Hash]*target
@@ -207,13 +207,13 @@
 	return &Placer{
 		clock: o.Clock, regions: o.Regions, services: make(map[string]*service), targets: make(map[string]*target),
 		byHash: make(map[Hash]*target), peers: make(map[string]*report), uses: make(map[Hash]*ring), othersUses: make(useSums),
-		notices: make(map[Hash]*noticed), heard: make(map[string]time.Time), cut: make(map[string]bool), warm: o.Warm, fresh: !o.Warm, started: o.Clock.Now(), changed: make(map[Hash]*target), busy: make(map[Hash]*target), placed: make(chan struct{}, 1),
+		notices: make(map[Hash]*noticed), heard: make(map[string]time.Time), cut: make(map[string]bool), warm: o.AssumeCached, fresh: !o.AssumeCached, started: o.Clock.Now(), changed: make(map[Hash]*target), busy: make(map[Hash]*target), placed: make(chan struct{}, 1),
 	}
 }
 
 // Place chooses a target and counts the request there, or refuses it. Answers are
 // those to Questions, as far as there are any.
-func (p *Placer) Place(r Request, answers ...Answer) Decision {
+func (p *Placer) Place(r Request, answers ...Reply) Decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -128,13 +128,13 @@
 	c := call("part", 1000, 10)
 	home := p.Place(ask(c, "c")).Run
 	home.End(Answered)
-	p.SetPeer("other", Report{News: News{Readings: []Reading{{Target: HashOf(home.Target.ID), Unread: 60_000}}}})
+	p.ApplyReport("other", Report{Update: Update{Prefills: []Prefill{{Target: HashOf(home.Target.ID), Tokens: 60_000}}}})
 	clock.Advance(70 * time.Millisecond)
 	d := p.Place(ask(c, "c"))
 	assert.Equal(t, d.Rank, 1)
-	assert.Equal(t, d.Age, 70*time.Millisecond)
+	assert.Equal(t, d.ReportAge, 70*time.Millisecond)
 	d.Run.End(Answered)
-	p.ForgetPeer("other")
+	p.RemovePeer("other")
 	assert.Equal(t, p.Place(ask(c, "c")).Rank, 1, "what a router sent waits also when it is lost")
 	clock.Advance(2 * time.Second)
 	assert.Equal(t, p.Place(ask(c, "c")).Run.Target.ID, home.Target.ID)
@@ -144,15 +144,15 @@
 	p, _ := newTestPlacer(t)
 	c := call("part", 20_000, 10)
 	d := p.Place(ask(c, "c"))
-	assert.Equal(t, d.Unread, 20_010)
+	assert.Equal(t, d.PrefillTokens, 20_010)
 	d.Run.End(Cancelled)
 	other, _ := newTestPlacer(t)
-	news := p.TakeNews()
-	assert.Equal(t, len(news.Readings), 1)
-	again := p.TakeNews()
+	news := p.TakeUpdate()
+	assert.Equal(t, len(news.Prefills), 1)
+	again := p.TakeUpdate()
 	assert.Assert(t, again.Empty(), "taken twice")
-	other.SetPeer("p", Report{News: news})
-	assert.Equal(t, other.Place(ask(c, "c")).Unread, 10)
+	other.ApplyReport("p", Report{Update: news})
+	assert.Equal(t, other.Place(ask(c, "c")).PrefillTokens, 10)
 }
 
 // TestTargetsFoundAtAStartKeepWhatIsInUse has a router start into a fleet that
@@ -160,13 +160,13 @@
 // keep nothing.
 func TestTargetsFoundAtAStartKeepWhatIsInUse(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	p := New(Options{Clock: clock, Warm: true})
+	p := New(Options{Clock: clock, AssumeCached: true})
 	p.SetTargets(nil, table(t))
 	p.SetTargets(targets("model", 1), table(t))
 	unread := func(shared string) int {
 		d := p.Place(ask(call(shared, 1000, 10), "c"))
 		d.Run.End(Answered)
-		return d.Unread
+		return d.PrefillTokens
 	}
 	assert.Equal(t, unread("a"), 10)
 	p.SetTargets([]*roster.Target{{ID: "new", Service: "model", Slots: 64}}, table(t))
@@ -177,10 +177,10 @@
 
 func TestWhatTargetsFoundAtAStartKeepIsForgotten(t *testing.T) {
 	clock := clockwork.NewFakeClock()
-	p := New(Options{Clock: clock, Warm: true})
+	p := New(Options{Clock: clock, AssumeCached: true})
 	p.SetTargets(targets("model", 1), table(t))
 	clock.Advance(warmFor)
-	assert.Equal(t, p.Place(ask(call("a", 1000, 10), "c")).Unread, 1010)
+	assert.Equal(t, p.Place(ask(call("a", 1000, 10), "c")).PrefillTokens, 1010)
 }
 
 func TestPartsAreForgottenWhenTheMemoryWasReadOver(t *testing.T) {
@@ -228,13 +228,13 @@
 	c := call("part", 1000, 10)
 	replaced, other := p.Place(ask(c, "c")).Run, p.Place(ask(c, "c")).Run
 	assert.Equal(t, replaced.Target.ID, other.Target.ID)
-	assert.Assert(t, !other.Declines())
+	assert.Assert(t, !other.Unavailable())
 	replaced.End(Replaced)
-	assert.Assert(t, other.Declines())
+	assert.Assert(t, other.Unavailable())
 	next := p.Place(ask(c, "c")).Run
 	assert.Assert(t, next.Target.ID != replaced.Target.ID)
 	p.SetTargets(nil, table(t))
-	assert.Assert(t, next.Declines())
+	assert.Assert(t, next.Unavailable())
 }
 
 func TestOnlyDoubtfulTargetsAreBetterThanNone(t *testing.T) {
@@ -253,7 +253,7 @@
 		for range 90 {
 			d := p.Place(r)
 			if d.Run.Target.ID == "plain-0" && grey%2 == 0 {
-				d.Run.End(Faulty)
+				d.Run.End(ErrorResponse)
 			} else {
 				d.Run.End(Answered)
 			}
@@ -274,12 +274,12 @@
 	used := make(map[string]bool)
 	for range 90 {
 		d := p.Place(Request{Service: "plain", Call: new(message.Call)})
-		d.Run.End(Faulty)
+		d.Run.End(ErrorResponse)
 	}
 	for range 30 {
 		d := p.Place(Request{Service: "plain", Call: new(message.Call)})
 		used[d.Run.Target.ID] = true
-		d.Run.End(Faulty)
+		d.Run.End(ErrorResponse)
 	}
 	assert.Equal(t, len(used), 3)
 }
@@ -293,19 +293,19 @@
 	beats := map[string]time.Time{"there": clock.Now()}
 	r := Request{Service: "plain", Call: new(message.Call), Tried: []string{"plain-0"}}
 	run := p.Place(r).Run
-	clock.Advance(LeastSilence / 2)
-	run.Heard()
-	clock.Advance(LeastSilence/2 + time.Millisecond)
-	assert.Equal(t, len(p.SetBeats(beats, LeastSilence)), 0, "its target was heard")
-	clock.Advance(LeastSilence)
-	assert.DeepEqual(t, p.SetBeats(beats, LeastSilence), []string{"there"})
+	clock.Advance(MinSilence / 2)
+	run.RecordReceived()
+	clock.Advance(MinSilence/2 + time.Millisecond)
+	assert.Equal(t, len(p.SetHeartbeats(beats, MinSilence)), 0, "its target was heard")
+	clock.Advance(MinSilence)
+	assert.DeepEqual(t, p.SetHeartbeats(beats, MinSilence), []string{"there"})
 	assert.Assert(t, run.CutOff())
 	r.Tried = nil
 	for range 5 {
 		assert.Equal(t, p.Place(r).Run.Target.ID, "plain-0")
 	}
 	beats["there"] = clock.Now()
-	assert.Equal(t, len(p.SetBeats(beats, LeastSilence)), 0)
+	assert.Equal(t, len(p.SetHeartbeats(beats, MinSilence)), 0)
 	assert.Equal(t, p.Place(r).Run.Target.ID, "plain-1")
 }
 
@@ -369,9 +369,9 @@
 	p.SetEvacuated(map[string]bool{"other": true})
 	before := p.Place(ask(call("part", 500, 100), "c")).Run
 	assert.Equal(t, before.Target.DataCentre, "evacuated")
-	assert.Assert(t, !before.Declines())
+	assert.Assert(t, !before.Unavailable())
 	p.SetEvacuated(map[string]bool{"evacuated": true})
-	assert.Assert(t, before.Declines())
+	assert.Assert(t, before.Unavailable())
 	for i := range 20 {
 		d := p.Place(ask(call(fmt.Sprint("part", i), 500, 100), "c"))
 		assert.Equal(t, d.Run.Target.DataCentre, "other")
--- a/place/plain.go
+++ b/place/plain.go
@@ -35,19 +35,19 @@
 	}
 	d := Decision{
 		Share:       p.currentShares(now).callPart(r.Customer),
-		Outstanding: t.outstanding(), Free: t.outstanding() < t.Slots,
-		Told: len(known), Age: p.oldestReport(now),
+		Outstanding: t.outstanding(), HasFreeSlot: t.outstanding() < t.Slots,
+		Replies: len(known), ReportAge: p.oldestReport(now),
 	}
 	if s.holds.known() {
 		d.Wait = s.holds.untilFree(d.Outstanding, t.Slots)
 		d.Predicted = d.Wait + s.holds.mean
 	}
 	limit := time.Duration(plainPart * d.Share * float64(r.Objective))
-	if !d.Free && d.Predicted > limit {
-		d.Above = d.Share < 1
-		return p.refuse(r, d, Use{CallsAsked: 1}, limit, time.Duration(soonPart*float64(s.holds.mean)), now)
+	if !d.HasFreeSlot && d.Predicted > limit {
+		d.AboveShare = d.Share < 1
+		return p.refuse(r, d, Usage{CallsRequested: 1}, limit, time.Duration(soonPart*float64(s.holds.mean)), now)
 	}
-	return p.begin(t, r, d, Use{CallsAsked: 1}, Use{CallsServed: 1}, now)
+	return p.begin(t, r, d, Usage{CallsRequested: 1}, Usage{CallsServed: 1}, now)
 }
 
 // leastBusy returns the target with the least work for its slots, nil if there is none: among
--- a/place/plain_test.go
+++ b/place/plain_test.go
@@ -253,11 +253,11 @@
 	p, _ := newTestPlacer(t)
 	told := func() int {
 		select {
-		case <-p.Placed():
+		case <-p.UpdateReady():
 		default:
 			t.Fatal("nothing is signalled")
 		}
-		news := p.TakeNews()
+		news := p.TakeUpdate()
 		requests := 0
 		for _, load := range news.Loads {
 			requests += load.Requests
@@ -306,11 +306,11 @@
 			p, _ := newTestPlacer(t)
 			r := ask(call("some", 1000, 10), "c")
 			r.Service = "plain"
-			asked := p.Questions(r)
+			asked := p.Queries(r)
 			assert.Equal(t, len(asked), plainChoices)
-			var answers []Answer
+			var answers []Reply
 			for _, q := range asked {
-				answers = append(answers, Answer{Target: q.Target, Slowness: 1})
+				answers = append(answers, Reply{Target: q.Target, Slowness: 1})
 				p.notice(q.Target, n)
 			}
 			d := p.Place(r, answers...)
--- a/place/ask.go
+++ b/place/query.go
@@ -6,42 +6,42 @@
 	"time"
 )
 
-// Question asks the router that answers for a target how things are there. All
+// Query asks the router that answers for a target how things are there. All
 // routers tell that one what they place at the target, so that it alone knows what
 // waits: each router of a large fleet sees a small part of the requests, and a queue at an
 // engine lives for some 100 ms.
-type Question struct {
+type Query struct {
 	Target Hash
-	// Parts are the shared parts of the prompt, Sizes their tokens, Total those of the
+	// PrefixParts are the shared parts of the prompt, PartTokens their tokens, PromptTokens those of the
 	// whole prompt; none for plain services.
-	Parts []Hash
-	Sizes []int
-	Total int
-	// First tells that the target is the prompt's first home.
-	First bool
+	PrefixParts  []Hash
+	PartTokens   []int
+	PromptTokens int
+	// FirstHome tells that the target is the prompt's first home.
+	FirstHome bool
 }
 
-// Answer is how things are at a target.
-type Answer struct {
+// Reply is how things are at a target.
+type Reply struct {
 	Target Hash
-	// Waiting is the number of tokens that wait to be read, Requests that of requests.
-	Waiting  int
-	Requests int
-	// Unread is the number of tokens that the prompt adds.
-	Unread int
+	// PendingTokens is the number of tokens that wait to be read, Requests that of requests.
+	PendingTokens int
+	Requests      int
+	// PrefillTokens is the number of tokens that the prompt adds.
+	PrefillTokens int
 	// Slowness is the part by which the target takes longer than others.
 	Slowness float64
-	// Line is what the router that answers has learned of first events at the targets of the
+	// LatencyModel is what the router that answers has learned of first events at the targets of the
 	// service; zero for plain services.
-	Line Line
+	LatencyModel LatencyModel
 }
 
 // plainChoices is the number of targets of a plain service that a request is placed
 // among: two by chance are nearly as good as all, and cost their routers less.
 const plainChoices = 2
 
-// Questions returns what should be known before a request is placed.
-func (p *Placer) Questions(r Request) []Question {
+// Queries returns what should be known before a request is placed.
+func (p *Placer) Queries(r Request) []Query {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.services[r.Service]
@@ -54,9 +54,9 @@
 		return p.plainQuestions(s, r, now)
 	}
 	pr := newPrompt(r.Call)
-	var list []Question
+	var list []Query
 	ask := func(t *target, first bool) {
-		list = append(list, Question{Target: t.hash, Parts: pr.shared, Sizes: pr.sizes, Total: pr.total, First: first})
+		list = append(list, Query{Target: t.hash, PrefixParts: pr.shared, PartTokens: pr.sizes, PromptTokens: pr.total, FirstHome: first})
 	}
 	homes, left := p.homes(s, r, now)
 	for rank, t := range homes {
@@ -71,7 +71,7 @@
 }
 
 // plainQuestions draws some targets of the best grade.
-func (p *Placer) plainQuestions(s *service, r Request, now time.Time) []Question {
+func (p *Placer) plainQuestions(s *service, r Request, now time.Time) []Query {
 	var best []*target
 	graded := doubtful
 	for _, t := range s.targets {
@@ -84,38 +84,38 @@
 		}
 	}
 	rand.Shuffle(len(best), func(i, j int) { best[i], best[j] = best[j], best[i] })
-	var list []Question
+	var list []Query
 	for _, t := range best[:min(plainChoices, len(best))] {
-		list = append(list, Question{Target: t.hash})
+		list = append(list, Query{Target: t.hash})
 	}
 	return list
 }
 
-// Answer answers a question of another router; ok is false if the target is not known.
-func (p *Placer) Answer(q Question) (a Answer, ok bool) {
+// Reply answers a question of another router; ok is false if the target is not known.
+func (p *Placer) Reply(q Query) (a Reply, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.byHash[q.Target]
 	if t == nil {
-		return Answer{}, false
+		return Reply{}, false
 	}
 	now := p.clock.Now()
 	s := p.service(t.Service)
 	slow := t.slow.factor(now)
-	a = Answer{Target: q.Target, Waiting: s.backlog(t, slow, now), Requests: t.outstanding(), Slowness: slow}
+	a = Reply{Target: q.Target, PendingTokens: s.backlog(t, slow, now), Requests: t.outstanding(), Slowness: slow}
 	if s.engine != nil {
-		a.Line = s.speed.Line
-		pr := prompt{shared: q.Parts, sizes: q.Sizes, total: max(q.Total, 1)}
-		a.Unread = pr.unread(&t.kept, s.engine.MemoryTokens, q.First && t.warm(now))
+		a.LatencyModel = s.speed.LatencyModel
+		pr := prompt{shared: q.PrefixParts, sizes: q.PartTokens, total: max(q.PromptTokens, 1)}
+		a.PrefillTokens = pr.unread(&t.kept, s.engine.MemoryTokens, q.FirstHome && t.warm(now))
 	}
 	return a, true
 }
 
 // told are answers by target.
-type told map[Hash]Answer
+type told map[Hash]Reply
 
 // take makes answers what is known of their targets.
-func (p *Placer) take(answers []Answer, now time.Time) told {
+func (p *Placer) take(answers []Reply, now time.Time) told {
 	known := make(told, len(answers))
 	for _, a := range answers {
 		t := p.byHash[a.Target]
@@ -123,9 +123,9 @@
 			continue
 		}
 		known[a.Target] = a
-		p.service(t.Service).speed.adopt(a.Line)
+		p.service(t.Service).speed.adopt(a.LatencyModel)
 		t.slow = slowness{log: math.Log(min(max(a.Slowness, 1/mostSlowness), mostSlowness)), at: now}
-		t.queue.set(a.Waiting, now)
+		t.queue.set(a.PendingTokens, now)
 		t.others.Requests = max(a.Requests-t.own.Requests, 0)
 		t.answered = now
 	}
@@ -158,8 +158,8 @@
 	p.owned = targets
 }
 
-// Own has this router answer for one more target.
-func (p *Placer) Own(target Hash) {
+// AddOwned has this router answer for one more target.
+func (p *Placer) AddOwned(target Hash) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.own(target)
--- a/place/ask_test.go
+++ b/place/query_test.go
@@ -9,8 +9,8 @@
 )
 
 // answer is what a router answers about the first home of a request.
-func answer(p *Placer, r Request) Answer {
-	a, _ := p.Answer(p.Questions(r)[0])
+func answer(p *Placer, r Request) Reply {
+	a, _ := p.Reply(p.Queries(r)[0])
 	return a
 }
 
@@ -18,15 +18,15 @@
 func TestAnswersGoBeforeOwnKnowledge(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	r := ask(call("part", 1000, 10), "c")
-	q := p.Questions(r)
+	q := p.Queries(r)
 	assert.Equal(t, len(q), maxHomes)
-	assert.Assert(t, q[0].First && !q[1].First)
-	d := p.Place(r, Answer{Target: q[0].Target, Waiting: 300, Requests: 3, Unread: 10, Slowness: 1}, Answer{Target: q[1].Target, Unread: 1010, Slowness: 1})
-	assert.Equal(t, d.Told, 2)
+	assert.Assert(t, q[0].FirstHome && !q[1].FirstHome)
+	d := p.Place(r, Reply{Target: q[0].Target, PendingTokens: 300, Requests: 3, PrefillTokens: 10, Slowness: 1}, Reply{Target: q[1].Target, PrefillTokens: 1010, Slowness: 1})
+	assert.Equal(t, d.Replies, 2)
 	assert.Equal(t, d.Backlog, 300)
 	assert.Equal(t, d.Outstanding, 3)
-	assert.Equal(t, d.Unread, 10, "another router's prompt had the shared part read")
-	slow := p.Place(r, Answer{Target: q[0].Target, Slowness: 6, Unread: 10}, Answer{Target: q[1].Target, Unread: 1010, Slowness: 1})
+	assert.Equal(t, d.PrefillTokens, 10, "another router's prompt had the shared part read")
+	slow := p.Place(r, Reply{Target: q[0].Target, Slowness: 6, PrefillTokens: 10}, Reply{Target: q[1].Target, PrefillTokens: 1010, Slowness: 1})
 	assert.Equal(t, slow.Rank, 1, "the home is slow, as another router says")
 }
 
@@ -42,20 +42,20 @@
 	for range 2 {
 		runs = append(runs, other.Place(r).Run)
 	}
-	asked.SetPeer("other", Report{News: other.TakeNews()})
+	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
 	before := answer(asked, r)
 	assert.Equal(t, before.Requests, 2)
 	clock.Advance(250 * time.Millisecond)
-	assert.Equal(t, answer(asked, r).Waiting, 0, "all was read, as it believes")
+	assert.Equal(t, answer(asked, r).PendingTokens, 0, "all was read, as it believes")
 	runs[0].FirstEvent(true)
-	asked.SetPeer("other", Report{News: other.TakeNews()})
+	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
 	after := answer(asked, r)
-	assert.Assert(t, after.Waiting > 1_000, "the second prompt waits still: %d", after.Waiting)
+	assert.Assert(t, after.PendingTokens > 1_000, "the second prompt waits still: %d", after.PendingTokens)
 	assert.Assert(t, after.Slowness != before.Slowness)
 	for _, run := range runs {
 		run.End(Answered)
 	}
-	asked.SetPeer("other", Report{News: other.TakeNews()})
+	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
 	assert.Equal(t, answer(asked, r).Requests, 0)
 }
 
@@ -70,7 +70,7 @@
 		run.FirstEvent(false)
 		run.End(Answered)
 	}
-	news := p.TakeNews()
+	news := p.TakeUpdate()
 	assert.Equal(t, len(news.FirstEvents), 0)
 	assert.Equal(t, p.Place(r).Slowness, 1.0)
 }
@@ -82,19 +82,19 @@
 	other.clock = clock
 	r := ask(call("part", 0, 100), "c")
 	run := other.Place(r).Run
-	asked.SetPeer("other", Report{News: other.TakeNews()})
-	first := other.TakeNews()
+	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
+	first := other.TakeUpdate()
 	assert.Equal(t, len(first.Loads), 0)
 	clock.Advance(repeatLoads)
-	again := other.TakeNews()
+	again := other.TakeUpdate()
 	assert.Equal(t, len(again.Loads), 1)
-	asked.SetPeer("other", Report{News: again})
-	asked.ForgetLoads()
+	asked.ApplyReport("other", Report{Update: again})
+	asked.ExpireLoads()
 	assert.Equal(t, answer(asked, r).Requests, 1)
 	run.End(Answered)
-	other.TakeNews() // lost on the way
+	other.TakeUpdate() // lost on the way
 	clock.Advance(forgetLoads)
-	asked.ForgetLoads()
+	asked.ExpireLoads()
 	assert.Equal(t, answer(asked, r).Requests, 0)
 }
 
@@ -105,17 +105,17 @@
 		p, clock := newTestPlacer(t)
 		p.fresh = !warm
 		r := ask(call("part", 5000, 10), "c")
-		q := p.Questions(r)[0]
+		q := p.Queries(r)[0]
 		p.SetOwned(map[Hash]bool{q.Target: true})
 		want := 5010
 		if warm {
 			want = 10
 		}
-		a, _ := p.Answer(q)
-		assert.Equal(t, a.Unread, want)
+		a, _ := p.Reply(q)
+		assert.Equal(t, a.PrefillTokens, want)
 		clock.Advance(warmFor)
-		a, _ = p.Answer(q)
-		assert.Equal(t, a.Unread, 5010)
+		a, _ = p.Reply(q)
+		assert.Equal(t, a.PrefillTokens, 5010)
 	}
 }
 
@@ -125,9 +125,9 @@
 	p, _ := newTestPlacer(t)
 	for range 50 {
 		r := Request{Service: "plain"}
-		q := p.Questions(r)
+		q := p.Queries(r)
 		assert.Equal(t, len(q), plainChoices)
-		d := p.Place(r, Answer{Target: q[0].Target, Requests: 64}, Answer{Target: q[1].Target, Requests: 2})
+		d := p.Place(r, Reply{Target: q[0].Target, Requests: 64}, Reply{Target: q[1].Target, Requests: 2})
 		assert.Equal(t, HashOf(d.Run.Target.ID), q[1].Target)
 		d.Run.End(Answered)
 	}
@@ -151,9 +151,9 @@
 func TestFullEnginesAreWaitedForAsLongAsTheObjectiveAllows(t *testing.T) {
 	p := engines12(t)
 	r := ask(call("hot", 1000, 10), "c")
-	q := p.Questions(r)
+	q := p.Queries(r)
 	at := func(requests int) Decision {
-		d := p.Place(r, Answer{Target: q[0].Target, Requests: requests, Unread: 10, Slowness: 1}, Answer{Target: q[1].Target, Requests: 60, Unread: 1010, Slowness: 1})
+		d := p.Place(r, Reply{Target: q[0].Target, Requests: requests, PrefillTokens: 10, Slowness: 1}, Reply{Target: q[1].Target, Requests: 60, PrefillTokens: 1010, Slowness: 1})
 		if d.Run != nil {
 			d.Run.End(Cancelled)
 		}
@@ -191,8 +191,8 @@
 func TestOldAnswersAreForgotten(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	r := ask(call("hot", 1000, 10), "c")
-	q := p.Questions(r)
-	full := func(x Question) Answer { return Answer{Target: x.Target, Requests: 200, Unread: 10, Slowness: 1} }
+	q := p.Queries(r)
+	full := func(x Query) Reply { return Reply{Target: x.Target, Requests: 200, PrefillTokens: 10, Slowness: 1} }
 	assert.Equal(t, p.Place(r, full(q[0]), full(q[1])).Reason, Overloaded)
 	assert.Equal(t, p.Place(r).Reason, Overloaded, "nobody answers")
 	clock.Advance(answerFor)
--- a/place/queue_test.go
+++ b/place/queue_test.go
@@ -98,7 +98,7 @@
 	r.Objective = 10 * time.Second
 	d := f.placer.Place(r)
 	if d.Run != nil {
-		f.pending[d.Run] = f.engines[d.Run.Target.ID].firstEvent(f.clock.Now(), d.Unread)
+		f.pending[d.Run] = f.engines[d.Run.Target.ID].firstEvent(f.clock.Now(), d.PrefillTokens)
 	}
 }
 
--- a/place/regions_test.go
+++ b/place/regions_test.go
@@ -44,7 +44,7 @@
 	for i := range 60 {
 		for _, r := range []Request{in(ask(call(fmt.Sprint(i), 1000, 10), "c"), "east"), in(callOf("c"), "east")} {
 			for range 2 {
-				for _, q := range s.Questions(r) {
+				for _, q := range s.Queries(r) {
 					assert.Equal(t, s.byHash[q.Target].DataCentre, "z", "nobody else is asked")
 				}
 				d := s.Place(r)
--- a/place/again_test.go
+++ b/place/restart_test.go
@@ -39,13 +39,13 @@
 	p.Place(r).Run.End(Replaced)
 	assert.Equal(t, p.Place(r).Reason, NoTarget)
 	p.SetTargets(startAgain(list), table(t))
-	assert.Assert(t, before.Run.Declines(), "what was not sent yet goes to no other run")
+	assert.Assert(t, before.Run.Unavailable(), "what was not sent yet goes to no other run")
 	r.Tried = []string{before.Run.Target.Incarnation()}
 	after := p.Place(r)
 	assert.Assert(t, after.Run != nil)
 	assert.Equal(t, after.Outstanding, 0)
 	assert.Equal(t, after.Backlog, 0)
-	assert.Equal(t, after.Unread, 5_010, "it keeps nothing")
+	assert.Equal(t, after.PrefillTokens, 5_010, "it keeps nothing")
 	assert.Equal(t, after.Slowness, 1.0)
 	// The runs of before end late.
 	before.Run.FirstEvent(true)
@@ -69,8 +69,8 @@
 	again := startAgain(list)
 	p.SetTargets(again, table(t))
 	p.SetOwned(map[Hash]bool{HashOf(again[0].Incarnation()): true})
-	q := p.Questions(ask(call("part", 5_000, 10), "c"))[0]
-	a, ok := p.Answer(q)
+	q := p.Queries(ask(call("part", 5_000, 10), "c"))[0]
+	a, ok := p.Reply(q)
 	assert.Assert(t, ok)
-	assert.Equal(t, a.Unread, 5_010)
+	assert.Equal(t, a.PrefillTokens, 5_010)
 }
--- a/place/run.go
+++ b/place/run.go
@@ -7,7 +7,7 @@
 )
 
 // begin counts a run at a target, and what its customer asks for and is served by it.
-func (p *Placer) begin(t *target, r Request, d Decision, asks, served Use, now time.Time) Decision {
+func (p *Placer) begin(t *target, r Request, d Decision, asks, served Usage, now time.Time) Decision {
 	use := asked(r, asks)
 	use.add(served, 1)
 	p.note(r.Customer, use, now)
@@ -16,8 +16,8 @@
 	p.loadChanged(t)
 	d.Run = &Run{
 		Target: t.Target, placer: p, state: t, before: before, customer: HashOf(r.Customer), served: served,
-		unread: d.Unread, copying: p.service(t.Service).copying(d.Copied), toRead: d.Backlog + d.Unread,
-		place: t.queue.add(d.Unread), predicted: d.Predicted, began: now,
+		unread: d.PrefillTokens, copying: p.service(t.Service).copying(d.CopiedTokens), toRead: d.Backlog + d.PrefillTokens,
+		place: t.queue.add(d.PrefillTokens), predicted: d.Predicted, began: now,
 	}
 	return d
 }
@@ -45,20 +45,20 @@
 	first time.Time
 	// customer and served are whom the run counts as service for, and how much.
 	customer Hash
-	served   Use
+	served   Usage
 	began    time.Time
 	ended    bool
-	// Ended is called when the run ended, if it is set.
-	Ended func()
+	// OnEnd is called when the run ended, if it is set.
+	OnEnd func()
 }
 
 // Incarnation names the run of the target that was chosen.
 func (r *Run) Incarnation() string { return r.state.incarnation }
 
-// Declines reports whether the target takes no new requests any more: its entry or it
+// Unavailable reports whether the target takes no new requests any more: its entry or it
 // itself said so, it went, was found replaced, is to be evacuated or asked for a backoff
 // since it was chosen.
-func (r *Run) Declines() bool {
+func (r *Run) Unavailable() bool {
 	p := r.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +97,7 @@
 	s.speed.learn(r.toRead, took)
 	r.state.queue.reached(r.place, s.speed.after(), now)
 	if r.number > 0 && len(p.news.FirstEvents) < maxNews {
-		p.news.FirstEvents = append(p.news.FirstEvents, FirstEvent{Target: r.state.hash, Number: r.number, Took: took, ToRead: r.toRead})
+		p.news.FirstEvents = append(p.news.FirstEvents, FirstEvent{Target: r.state.hash, Number: r.number, Latency: took, PrefillTokens: r.toRead})
 	}
 }
 
@@ -108,8 +108,8 @@
 const (
 	// Answered: the target answered.
 	Answered Result = iota
-	// Faulty: the target answered with a failure of its own.
-	Faulty
+	// ErrorResponse: the target answered with a failure of its own.
+	ErrorResponse
 	// Refused: the target said that it does not run the request.
 	Refused
 	// Unreachable: the target could not be reached, so nothing was sent.
@@ -118,8 +118,8 @@
 	Failed
 	// Replaced: another run of the target answered, so this one has ended.
 	Replaced
-	// Withdrawn: nothing was sent, for reasons that say nothing of the target.
-	Withdrawn
+	// NotSent: nothing was sent, for reasons that say nothing of the target.
+	NotSent
 	// Cancelled: the run was ended for reasons that say nothing of the target.
 	Cancelled
 )
@@ -127,7 +127,7 @@
 // didNotRun reports whether a run that ended so has provably not run.
 func (r Result) didNotRun() bool {
 	switch r {
-	case Refused, Unreachable, Replaced, Withdrawn:
+	case Refused, Unreachable, Replaced, NotSent:
 		return true
 	}
 	return false
@@ -153,8 +153,8 @@
 		return
 	}
 	r.ended = true
-	if r.Ended != nil {
-		r.Ended()
+	if r.OnEnd != nil {
+		r.OnEnd()
 	}
 	r.state.queue.drop(r.unread)
 	r.unread = 0
--- a/place/shares.go
+++ b/place/shares.go
@@ -10,7 +10,7 @@
 // none is cut that asks for less.
 type shares struct {
 	at   time.Time
-	uses map[Hash]Use
+	uses map[Hash]Usage
 	// owed is the level for what the engines are stated to carry, or for what they
 	// serve if that is less; even is the level for what they serve. Engines that
 	// keep prompts serve about twice what is stated, so that a customer up to its
@@ -43,7 +43,7 @@
 		return &p.shares
 	}
 	uses := p.ownUses(now)
-	if p.totals != nil && now.Sub(p.totals.At) < totalsFor {
+	if p.totals != nil && now.Sub(p.totals.AsOf) < totalsFor {
 		uses = p.totals.compared(uses)
 	} else {
 		useSums(uses).add(p.othersUses)
@@ -55,8 +55,8 @@
 
 // computeShares compares customers by their uses. Stated is what the engines
 // carry in the window, in tokens; 0 if nobody says.
-func computeShares(uses map[Hash]Use, stated int) shares {
-	tokens := demandOf(uses, func(u Use) (asked, served int) { return u.Asked, u.Served })
+func computeShares(uses map[Hash]Usage, stated int) shares {
+	tokens := demandOf(uses, func(u Usage) (asked, served int) { return u.Requested, u.Served })
 	s := shares{uses: uses, asked: tokens.asked, pressed: tokens.pressed(), even: tokens.level(tokens.served)}
 	s.owed = s.even
 	if stated > 0 {
@@ -75,7 +75,7 @@
 }
 
 // demandOf sums up uses; of returns the part of a use that counts.
-func demandOf(uses map[Hash]Use, of func(Use) (asked, served int)) demand {
+func demandOf(uses map[Hash]Usage, of func(Usage) (asked, served int)) demand {
 	d := demand{wants: make([]int, 0, len(uses))}
 	for _, u := range uses {
 		asked, served := of(u)
@@ -107,7 +107,7 @@
 // for.
 func (s *shares) othersGoShort() bool {
 	for _, u := range s.uses {
-		want := float64(min(u.Asked, s.even))
+		want := float64(min(u.Requested, s.even))
 		lacks := want - float64(u.Served)
 		if u.Served <= s.even && lacks > shortPart*want && lacks > leastShort*float64(s.even) {
 			return true
@@ -132,11 +132,11 @@
 
 // usual is the part of the usual limit for a customer that is not above its
 // share.
-func (s *shares) usual(u Use) float64 {
+func (s *shares) usual(u Usage) float64 {
 	switch even := s.asked / max(len(s.uses), 1); {
-	case u.Asked > heavyRatio*even:
+	case u.Requested > heavyRatio*even:
 		return heavyFactor
-	case u.Asked < even/lightRatio:
+	case u.Requested < even/lightRatio:
 		return lightFactor
 	}
 	return 1
--- a/place/shares_bench_test.go
+++ b/place/shares_bench_test.go
@@ -15,11 +15,11 @@
 	clock := clockwork.NewFakeClock()
 	p := New(Options{Clock: clock})
 	for i := range 294 {
-		uses := make(map[Hash]Use)
+		uses := make(map[Hash]Usage)
 		for c := range 60 {
-			uses[HashOf(fmt.Sprint(c))] = Use{Asked: 1200, Served: 1000}
+			uses[HashOf(fmt.Sprint(c))] = Usage{Requested: 1200, Served: 1000}
 		}
-		p.SetPeer(fmt.Sprint(i), Report{Uses: uses})
+		p.ApplyReport(fmt.Sprint(i), Report{Usage: uses})
 	}
 	for b.Loop() {
 		clock.Advance(sharesFor + time.Millisecond)
--- a/place/targets.go
+++ b/place/targets.go
@@ -178,8 +178,8 @@
 	s.targets = s.targets[:last]
 }
 
-// Knows reports whether a run of a target is listed.
-func (p *Placer) Knows(incarnation string) bool {
+// Listed reports whether a run of a target is listed.
+func (p *Placer) Listed(incarnation string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.targets[incarnation] != nil
--- a/place/totals_test.go
+++ b/place/totals_test.go
@@ -11,17 +11,17 @@
 
 // exact returns the uses of many customers, a few of them large, and what routers told of
 // them in parts.
-func exact(random *rand.Rand, customers, routers int) (sum map[Hash]Use, parts []Totals) {
-	sum = make(map[Hash]Use)
+func exact(random *rand.Rand, customers, routers int) (sum map[Hash]Usage, parts []Totals) {
+	sum = make(map[Hash]Usage)
 	for range routers {
-		part := Totals{Uses: make(map[Hash]Use), At: time.Unix(int64(random.IntN(100)), 0)}
+		part := Totals{Usage: make(map[Hash]Usage), AsOf: time.Unix(int64(random.IntN(100)), 0)}
 		for range 10 {
 			c := int(float64(customers) * random.Float64() * random.Float64() * random.Float64())
 			h := HashOf(fmt.Sprint(c))
-			u := Use{Asked: 1000 + random.IntN(20_000), CallsAsked: random.IntN(3)}
-			u.Served, u.CallsServed = u.Asked*9/10, u.CallsAsked
-			useSums(part.Uses).add(map[Hash]Use{h: u})
-			useSums(sum).add(map[Hash]Use{h: u})
+			u := Usage{Requested: 1000 + random.IntN(20_000), CallsRequested: random.IntN(3)}
+			u.Served, u.CallsServed = u.Requested*9/10, u.CallsRequested
+			useSums(part.Usage).add(map[Hash]Usage{h: u})
+			useSums(sum).add(map[Hash]Usage{h: u})
 		}
 		parts = append(parts, part)
 	}
@@ -64,7 +64,7 @@
 			}
 		}
 		for _, p := range parts {
-			assert.Assert(t, !p.At.Before(fleet.At), "the age is that of the oldest part")
+			assert.Assert(t, !p.AsOf.Before(fleet.AsOf), "the age is that of the oldest part")
 		}
 	}
 }
@@ -74,11 +74,11 @@
 func TestTotalsCountWhileTheyAreNew(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	flood, other := HashOf("flood"), HashOf("other")
-	p.SetTotals(Totals{At: clock.Now(), Uses: map[Hash]Use{flood: {Asked: 9_000_000, Served: 3_000_000}, other: {Asked: 1000, Served: 500}}})
+	p.SetTotals(Totals{AsOf: clock.Now(), Usage: map[Hash]Usage{flood: {Requested: 9_000_000, Served: 3_000_000}, other: {Requested: 1000, Served: 500}}})
 	standing := func(customer string) standing { return p.currentShares(clock.Now()).standing(customer) }
 	assert.Assert(t, standing("flood").above)
 	assert.Assert(t, !standing("other").above)
-	p.SetTotals(Totals{At: clock.Now().Add(-time.Second), Uses: map[Hash]Use{}})
+	p.SetTotals(Totals{AsOf: clock.Now().Add(-time.Second), Usage: map[Hash]Usage{}})
 	clock.Advance(sharesFor)
 	assert.Assert(t, standing("flood").above, "older totals change nothing")
 	clock.Advance(totalsFor)
@@ -86,10 +86,10 @@
 }
 
 func TestOwnUseNewerThanTheTotalsCounts(t *testing.T) {
-	own := map[Hash]Use{HashOf("a"): {Asked: 500, Served: 400}, HashOf("b"): {Asked: 70, Served: 70}}
-	totals := Totals{Uses: map[Hash]Use{HashOf("a"): {Asked: 100, Served: 100, CallsAsked: 5}}, Others: 2, Rest: Use{Asked: 100, Served: 100}}
+	own := map[Hash]Usage{HashOf("a"): {Requested: 500, Served: 400}, HashOf("b"): {Requested: 70, Served: 70}}
+	totals := Totals{Usage: map[Hash]Usage{HashOf("a"): {Requested: 100, Served: 100, CallsRequested: 5}}, OtherCustomers: 2, OtherUsage: Usage{Requested: 100, Served: 100}}
 	uses := totals.compared(own)
-	assert.Equal(t, uses[HashOf("a")], Use{Asked: 500, Served: 400, CallsAsked: 5})
+	assert.Equal(t, uses[HashOf("a")], Usage{Requested: 500, Served: 400, CallsRequested: 5})
 	assert.Equal(t, uses[HashOf("b")], own[HashOf("b")])
 	assert.Equal(t, len(uses), 3, "one customer is among the rest")
 }
--- a/place/news.go
+++ b/place/update.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// Reading is a prompt that was placed at a target.
-type Reading struct {
+// Prefill is a prompt that was placed at a target.
+type Prefill struct {
 	Target Hash
 	// Number names the reading among those of one router.
-	Number uint32
-	Parts  []Hash
-	Unread int
-	// Copied is the number of tokens that the target copied from another one.
-	Copied int
+	Number      uint32
+	PrefixParts []Hash
+	Tokens      int
+	// CopiedTokens is the number of tokens that the target copied from another one.
+	CopiedTokens int
 }
 
 // FirstEvent tells that a prompt was read.
@@ -18,16 +18,16 @@
 	Target Hash
 	// Number is that of the reading.
 	Number uint32
-	// Took is the time since it was placed, ToRead the number of tokens that were to be
+	// Latency is the time since it was placed, PrefillTokens the number of tokens that were to be
 	// read by then.
-	Took   time.Duration
-	ToRead int
+	Latency       time.Duration
+	PrefillTokens int
 }
 
-// News is what a router did since it told others last. Each piece concerns the router
+// Update is what a router did since it told others last. Each piece concerns the router
 // that answers for its target.
-type News struct {
-	Readings    []Reading
+type Update struct {
+	Prefills    []Prefill
 	FirstEvents []FirstEvent
 	// Loads are the router's requests at targets where that changed, or was not told
 	// for long.
@@ -35,8 +35,8 @@
 }
 
 // Empty reports whether there is nothing to tell.
-func (n *News) Empty() bool {
-	return len(n.Readings) == 0 && len(n.FirstEvents) == 0 && len(n.Loads) == 0
+func (n *Update) Empty() bool {
+	return len(n.Prefills) == 0 && len(n.FirstEvents) == 0 && len(n.Loads) == 0
 }
 
 const (
@@ -51,9 +51,9 @@
 )
 
 // announce keeps a reading for the router that answers for its target.
-func (p *Placer) announce(r Reading) {
-	if len(p.news.Readings) < maxNews {
-		p.news.Readings = append(p.news.Readings, r)
+func (p *Placer) announce(r Prefill) {
+	if len(p.news.Prefills) < maxNews {
+		p.news.Prefills = append(p.news.Prefills, r)
 	}
 	p.signal()
 }
@@ -79,11 +79,11 @@
 	}
 }
 
-// Placed is signalled after prompts were placed, which TakeNews then hands over.
-func (p *Placer) Placed() <-chan struct{} { return p.placed }
+// UpdateReady is signalled after prompts were placed, which TakeUpdate then hands over.
+func (p *Placer) UpdateReady() <-chan struct{} { return p.placed }
 
-// TakeNews returns what happened since the last call.
-func (p *Placer) TakeNews() News {
+// TakeUpdate returns what happened since the last call.
+func (p *Placer) TakeUpdate() Update {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -99,12 +99,12 @@
 		t.told = now
 	}
 	clear(p.changed)
-	p.news = News{}
+	p.news = Update{}
 	return n
 }
 
-// ForgetLoads drops the loads that other routers have not told again for long.
-func (p *Placer) ForgetLoads() {
+// ExpireLoads drops the loads that other routers have not told again for long.
+func (p *Placer) ExpireLoads() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
@@ -119,7 +119,7 @@
 }
 
 // hear takes another router's news.
-func (p *Placer) hear(router Hash, n News, r *report, now time.Time) {
+func (p *Placer) hear(router Hash, n Update, r *report, now time.Time) {
 	for h, load := range n.Loads {
 		p.count(h, load.Requests-r.loads[h].Requests)
 		if load.Requests == 0 {
@@ -128,11 +128,11 @@
 			r.loads[h] = loadAt{load, now}
 		}
 	}
-	for _, reading := range n.Readings {
+	for _, reading := range n.Prefills {
 		if t := p.byHash[reading.Target]; t != nil {
-			t.kept.touch(reading.Parts, reading.Unread+reading.Copied)
+			t.kept.touch(reading.PrefixParts, reading.Tokens+reading.CopiedTokens)
 			p.service(t.Service).backlog(t, t.slow.factor(now), now)
-			t.await(readingID{router, reading.Number}, t.queue.add(reading.Unread))
+			t.await(readingID{router, reading.Number}, t.queue.add(reading.Tokens))
 		}
 	}
 	for _, e := range n.FirstEvents {
@@ -145,8 +145,8 @@
 // begun learns from the first event of another router's prompt.
 func (p *Placer) begun(t *target, id readingID, e FirstEvent, now time.Time) {
 	s := p.service(t.Service)
-	t.slow.note(e.Took, s.speed.predict(e.ToRead), now)
-	s.speed.learn(e.ToRead, e.Took)
+	t.slow.note(e.Latency, s.speed.predict(e.PrefillTokens), now)
+	s.speed.learn(e.PrefillTokens, e.Latency)
 	if place, ok := t.awaited[id]; ok {
 		t.queue.reached(place, s.speed.after(), now)
 		delete(t.awaited, id)
--- a/place/use.go
+++ b/place/usage.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Use is what customers asked for and received in the last seconds, in tokens read and
+// Usage is what customers asked for and received in the last seconds, in tokens read and
 // made, and in calls of plain services.
-type Use struct {
-	Asked  int
-	Served int
-	// CallsAsked and CallsServed are the calls of all plain services.
-	CallsAsked  int
-	CallsServed int
+type Usage struct {
+	Requested int
+	Served    int
+	// CallsRequested and CallsServed are the calls of all plain services.
+	CallsRequested int
+	CallsServed    int
 }
 
 // add adds another use, so many times: -1 takes it off.
-func (u *Use) add(o Use, times int) {
-	u.Asked += times * o.Asked
+func (u *Usage) add(o Usage, times int) {
+	u.Requested += times * o.Requested
 	u.Served += times * o.Served
-	u.CallsAsked += times * o.CallsAsked
+	u.CallsRequested += times * o.CallsRequested
 	u.CallsServed += times * o.CallsServed
 }
 
 // useSums are sums of uses by customer.
-type useSums map[Hash]Use
+type useSums map[Hash]Usage
 
-func (s useSums) add(uses map[Hash]Use) {
+func (s useSums) add(uses map[Hash]Usage) {
 	for h, u := range uses {
 		sum := s[h]
 		sum.add(u, 1)
@@ -32,11 +32,11 @@
 }
 
 // remove takes uses off that were added before.
-func (s useSums) remove(uses map[Hash]Use) {
+func (s useSums) remove(uses map[Hash]Usage) {
 	for h, u := range uses {
 		sum := s[h]
 		sum.add(u, -1)
-		if sum == (Use{}) {
+		if sum == (Usage{}) {
 			delete(s, h)
 		} else {
 			s[h] = sum
@@ -68,7 +68,7 @@
 
 // ring holds one customer's use of this router by slots of time.
 type ring struct {
-	slots [useSlots]Use
+	slots [useSlots]Usage
 	at    int64
 }
 
@@ -78,18 +78,18 @@
 		if slot-r.at > useSlots {
 			r.at = slot - useSlots
 		}
-		r.slots[(r.at+1)%useSlots] = Use{}
+		r.slots[(r.at+1)%useSlots] = Usage{}
 	}
 }
 
-func (r *ring) add(slot int64, u Use) {
+func (r *ring) add(slot int64, u Usage) {
 	r.advance(slot)
 	r.slots[slot%useSlots].add(u, 1)
 }
 
-func (r *ring) sum(slot int64) Use {
+func (r *ring) sum(slot int64) Usage {
 	r.advance(slot)
-	var sum Use
+	var sum Usage
 	for _, s := range r.slots {
 		sum.add(s, 1)
 	}
@@ -99,7 +99,7 @@
 func slotOf(now time.Time) int64 { return now.UnixNano() / int64(useSlot) }
 
 // note counts a request of a customer.
-func (p *Placer) note(customer string, u Use, now time.Time) {
+func (p *Placer) note(customer string, u Usage, now time.Time) {
 	h := HashOf(customer)
 	r := p.uses[h]
 	if r == nil {
@@ -113,7 +113,7 @@
 // run, off its customer's use. Targets that crash refuse hundreds of requests in
 // a second; counted as service they made a customer look better served than
 // another that had half of its tokens.
-func (p *Placer) takeBack(customer Hash, served Use, began, now time.Time) {
+func (p *Placer) takeBack(customer Hash, served Usage, began, now time.Time) {
 	r := p.uses[customer]
 	if r == nil {
 		return
@@ -124,17 +124,17 @@
 	}
 }
 
-// Uses returns the use of this router by each customer in the window.
-func (p *Placer) Uses() map[Hash]Use {
+// Usage returns the use of this router by each customer in the window.
+func (p *Placer) Usage() map[Hash]Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ownUses(p.clock.Now())
 }
 
-func (p *Placer) ownUses(now time.Time) map[Hash]Use {
-	uses := make(map[Hash]Use, len(p.uses))
+func (p *Placer) ownUses(now time.Time) map[Hash]Usage {
+	uses := make(map[Hash]Usage, len(p.uses))
 	for h, r := range p.uses {
-		if u := r.sum(slotOf(now)); u != (Use{}) {
+		if u := r.sum(slotOf(now)); u != (Usage{}) {
 			uses[h] = u
 		} else {
 			delete(p.uses, h)
--- a/place/use_test.go
+++ b/place/usage_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestShareLevelIsMaxMin(t *testing.T) {
-	uses := map[Hash]Use{1: {Asked: 100, Served: 100}, 2: {Asked: 1000, Served: 300}, 3: {Asked: 5000, Served: 1500}}
+	uses := map[Hash]Usage{1: {Requested: 100, Served: 100}, 2: {Requested: 1000, Served: 300}, 3: {Requested: 5000, Served: 1500}}
 	s := computeShares(uses, 0)
 	assert.Assert(t, s.pressed)
 	assert.Equal(t, s.even, 900)
@@ -17,15 +17,15 @@
 	assert.Equal(t, s.even, 900)
 	assert.Equal(t, s.owed, 500)
 	assert.Equal(t, computeShares(uses, 5000).owed, 900, "no more is owed than is served")
-	calm := computeShares(map[Hash]Use{1: {Asked: 100, Served: 100}, 2: {Asked: 5000, Served: 5000}}, 1000)
+	calm := computeShares(map[Hash]Usage{1: {Requested: 100, Served: 100}, 2: {Requested: 5000, Served: 5000}}, 1000)
 	assert.Assert(t, !calm.pressed)
 }
 
 // TestLimitShrinksFromTheOwedLevelOn has three customers that flood: one within
 // what it is owed, one above it, one also far ahead of the others.
 func TestLimitShrinksFromTheOwedLevelOn(t *testing.T) {
-	s := computeShares(map[Hash]Use{
-		HashOf("within"): {Asked: 5000, Served: 450}, HashOf("above"): {Asked: 5000, Served: 800}, HashOf("ahead"): {Asked: 5000, Served: 1450},
+	s := computeShares(map[Hash]Usage{
+		HashOf("within"): {Requested: 5000, Served: 450}, HashOf("above"): {Requested: 5000, Served: 800}, HashOf("ahead"): {Requested: 5000, Served: 1450},
 	}, 1500)
 	assert.Equal(t, s.owed, 500)
 	assert.Equal(t, s.even, 900)
@@ -41,8 +41,8 @@
 // which one had three times as much.
 func TestFloodThatIsAheadLeavesIdleTargetsToOthers(t *testing.T) {
 	p, _ := newTestPlacer(t)
-	p.SetPeer("other", Report{Uses: map[Hash]Use{
-		HashOf("ahead"): {Asked: 9_000_000, Served: 3_000_000}, HashOf("behind"): {Asked: 9_000_000, Served: 1_000_000},
+	p.ApplyReport("other", Report{Usage: map[Hash]Usage{
+		HashOf("ahead"): {Requested: 9_000_000, Served: 3_000_000}, HashOf("behind"): {Requested: 9_000_000, Served: 1_000_000},
 	}})
 	c := call("part", 500, 9000)
 	assert.Equal(t, p.Place(ask(c, "ahead")).Reason, Overloaded)
@@ -51,8 +51,8 @@
 
 func TestCustomerAboveItsShareIsRefusedFirst(t *testing.T) {
 	p, _ := newTestPlacer(t)
-	p.SetPeer("other", Report{Uses: map[Hash]Use{
-		HashOf("flood"): {Asked: 10_000_000, Served: 1_000_000}, HashOf("small"): {Asked: 500_000, Served: 10_000},
+	p.ApplyReport("other", Report{Usage: map[Hash]Usage{
+		HashOf("flood"): {Requested: 10_000_000, Served: 1_000_000}, HashOf("small"): {Requested: 500_000, Served: 10_000},
 	}})
 	c := call("part", 500, 3000)
 	home := p.Place(ask(c, "small")).Run
@@ -68,11 +68,11 @@
 
 func TestUseSlidesOutOfTheWindow(t *testing.T) {
 	p, clock := newTestPlacer(t)
-	p.note("c", Use{Asked: 10, Served: 5}, clock.Now())
+	p.note("c", Usage{Requested: 10, Served: 5}, clock.Now())
 	clock.Advance((useSlots - 1) * useSlot)
-	assert.Equal(t, p.Uses()[HashOf("c")], Use{Asked: 10, Served: 5})
+	assert.Equal(t, p.Usage()[HashOf("c")], Usage{Requested: 10, Served: 5})
 	clock.Advance(2 * useSlot)
-	assert.Equal(t, len(p.Uses()), 0)
+	assert.Equal(t, len(p.Usage()), 0)
 }
 
 // TestServiceIsTakenBackFromWhatDidNotRun ends runs in every way.
@@ -81,8 +81,8 @@
 		result Result
 		counts bool
 	}{
-		{Answered, true}, {Faulty, true}, {Failed, true}, {Cancelled, true},
-		{Refused, false}, {Unreachable, false}, {Replaced, false}, {Withdrawn, false},
+		{Answered, true}, {ErrorResponse, true}, {Failed, true}, {Cancelled, true},
+		{Refused, false}, {Unreachable, false}, {Replaced, false}, {NotSent, false},
 	}
 	for _, tc := range tests {
 		p, clock := newTestPlacer(t)
@@ -92,11 +92,11 @@
 		clock.Advance(useSlot)
 		run.End(tc.result)
 		run.End(tc.result)
-		want := Use{Asked: cost}
+		want := Usage{Requested: cost}
 		if tc.counts {
 			want.Served = cost
 		}
-		assert.Equal(t, p.Uses()[HashOf("c")], want, "result %d", tc.result)
+		assert.Equal(t, p.Usage()[HashOf("c")], want, "result %d", tc.result)
 	}
 }
 
@@ -105,10 +105,10 @@
 	c := call("part", 900, 100)
 	run := p.Place(ask(c, "c")).Run
 	clock.Advance(useWindow)
-	assert.Equal(t, len(p.Uses()), 0)
+	assert.Equal(t, len(p.Usage()), 0)
 	p.Place(ask(c, "c"))
 	run.End(Refused)
-	assert.Equal(t, p.Uses()[HashOf("c")].Served, costOf(c))
+	assert.Equal(t, p.Usage()[HashOf("c")].Served, costOf(c))
 }
 
 func TestSecondAttemptAsksForNothingNew(t *testing.T) {
@@ -119,20 +119,20 @@
 	run.End(Refused)
 	r.Tried = []string{run.Target.ID}
 	assert.Assert(t, p.Place(r).Run != nil)
-	assert.Equal(t, p.Uses()[HashOf("c")], Use{Asked: costOf(c), Served: costOf(c)})
+	assert.Equal(t, p.Usage()[HashOf("c")], Usage{Requested: costOf(c), Served: costOf(c)})
 }
 
 func TestCustomerThatAsksForMuchLeavesRoomForOthers(t *testing.T) {
-	uses := map[Hash]Use{HashOf("heavy"): {Asked: 800, Served: 800}}
+	uses := map[Hash]Usage{HashOf("heavy"): {Requested: 800, Served: 800}}
 	for i := range 9 {
-		uses[HashOf(fmt.Sprint(i))] = Use{Asked: 20, Served: 20}
+		uses[HashOf(fmt.Sprint(i))] = Usage{Requested: 20, Served: 20}
 	}
 	s := computeShares(uses, 0)
 	assert.Assert(t, !s.pressed)
 	assert.Equal(t, s.standing("heavy"), standing{part: heavyFactor})
 	assert.Equal(t, s.standing("3"), standing{part: lightFactor})
 	assert.Equal(t, s.standing("new"), standing{part: lightFactor})
-	even := computeShares(map[Hash]Use{HashOf("a"): {Asked: 90, Served: 90}, HashOf("b"): {Asked: 100, Served: 100}}, 0)
+	even := computeShares(map[Hash]Usage{HashOf("a"): {Requested: 90, Served: 90}, HashOf("b"): {Requested: 100, Served: 100}}, 0)
 	assert.Equal(t, even.standing("a").part, 1.0)
 }
 
@@ -140,15 +140,15 @@
 func TestSumsOfOthersUsesFollowEveryReport(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := HashOf("c")
-	p.SetPeer("a", Report{Uses: map[Hash]Use{c: {Asked: 5, Served: 3}}})
-	p.SetPeer("b", Report{Uses: map[Hash]Use{c: {Asked: 7, Served: 7}}})
-	assert.Equal(t, p.othersUses[c], Use{Asked: 12, Served: 10})
-	p.SetPeer("a", Report{})
-	assert.Equal(t, p.othersUses[c], Use{Asked: 12, Served: 10}, "a report without uses leaves them")
-	p.SetPeer("a", Report{Uses: map[Hash]Use{c: {Asked: 1, Served: 1}}})
-	assert.Equal(t, p.othersUses[c], Use{Asked: 8, Served: 8})
-	p.ForgetPeer("b")
-	assert.Equal(t, p.othersUses[c], Use{Asked: 1, Served: 1})
-	p.ForgetPeer("a")
+	p.ApplyReport("a", Report{Usage: map[Hash]Usage{c: {Requested: 5, Served: 3}}})
+	p.ApplyReport("b", Report{Usage: map[Hash]Usage{c: {Requested: 7, Served: 7}}})
+	assert.Equal(t, p.othersUses[c], Usage{Requested: 12, Served: 10})
+	p.ApplyReport("a", Report{})
+	assert.Equal(t, p.othersUses[c], Usage{Requested: 12, Served: 10}, "a report without uses leaves them")
+	p.ApplyReport("a", Report{Usage: map[Hash]Usage{c: {Requested: 1, Served: 1}}})
+	assert.Equal(t, p.othersUses[c], Usage{Requested: 8, Served: 8})
+	p.RemovePeer("b")
+	assert.Equal(t, p.othersUses[c], Usage{Requested: 1, Served: 1})
+	p.RemovePeer("a")
 	assert.Equal(t, len(p.othersUses), 0)
 }
--- a/place/versions_test.go
+++ b/place/versions_test.go
@@ -33,7 +33,7 @@
 		for _, v := range []Versions{{Only: "v2"}, {Not: "v2"}, {Not: "v2", Strict: true}} {
 			r := to(ask(call(fmt.Sprint(i), 1000, 10), "c"), v)
 			for range 2 {
-				for _, q := range s.Questions(r) {
+				for _, q := range s.Queries(r) {
 					assert.Assert(t, v.allow(s.byHash[q.Target].Version), "nobody else is asked")
 				}
 				d := s.Place(r)
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -67,10 +67,10 @@
 		Service: f.service, Customer: f.customer, Objective: f.route.Objective, Call: &f.call, Tried: f.tried, Regions: f.regions, Versions: f.versions,
 	}
 	s := f.server
-	var answers []place.Answer
+	var answers []place.Reply
 	if s.options.Ask != nil && !s.troubled() {
 		began := s.options.Clock.Now()
-		answers = s.options.Ask(s.options.Placer.Questions(r))
+		answers = s.options.Ask(s.options.Placer.Queries(r))
 		f.asked = s.options.Clock.Since(began)
 	}
 	f.decision = s.options.Placer.Place(r, answers...)
@@ -214,7 +214,7 @@
 		return ans, nil
 	}
 	if status >= fasthttp.StatusInternalServerError {
-		f.run.End(place.Faulty) // the later End has no effect then
+		f.run.End(place.ErrorResponse) // the later End has no effect then
 	}
 	f.run.End(place.Answered)
 	f.judge(rollout.Answer{Failed: status >= fasthttp.StatusInternalServerError, Took: f.sinceSent(), Size: 1})
@@ -259,7 +259,7 @@
 		if err := ans.header.Read(c.Reader); err != nil {
 			return f.fail(target.Broken, 0, err, "read head of answer")
 		}
-		f.run.Heard()
+		f.run.RecordReceived()
 		if ans.header.StatusCode() < fasthttp.StatusOK {
 			continue
 		}
--- a/relay/connect.go
+++ b/relay/connect.go
@@ -79,7 +79,7 @@
 	if err != nil && s.connects.troubled() {
 		// Most connections are slow or fail, whatever the target: this router is in
 		// trouble, so that nothing is learned about the target. A later End has no effect.
-		f.run.End(place.Withdrawn)
+		f.run.End(place.NotSent)
 	}
 	return c, err
 }
@@ -94,13 +94,13 @@
 	}
 	if gone(f) {
 		f.interrupt(callerGone)
-		f.run.End(place.Withdrawn)
+		f.run.End(place.NotSent)
 		return errCallerLeft
 	}
-	if f.run.Declines() {
+	if f.run.Unavailable() {
 		// That it wants nothing is no failure of the target's; the End in attempt has no
 		// effect after this one.
-		f.run.End(place.Withdrawn)
+		f.run.End(place.NotSent)
 		return errDeclined
 	}
 	f.started()
--- a/relay/log.go
+++ b/relay/log.go
@@ -24,12 +24,12 @@
 // decided adds the inputs of the last decision of the placer.
 func (f *flight) decided(e *zerolog.Event) *zerolog.Event {
 	d := &f.decision
-	if d.Copied > 0 {
-		e = e.Int("copied", d.Copied).Stringer("copied_from", d.CopyFrom)
+	if d.CopiedTokens > 0 {
+		e = e.Int("copied", d.CopiedTokens).Stringer("copied_from", d.CopyFrom)
 	}
-	return e.Int("rank", d.Rank).Float64("share", d.Share).Bool("above_share", d.Above).
-		Int("backlog", d.Backlog).Int("unread", d.Unread).Int("shared_unread", d.Shared).Int("outstanding", d.Outstanding).
-		Dur("wait_ms", d.Wait).Dur("predicted_ms", d.Predicted).Float64("slowness", d.Slowness).Int("told", d.Told).Dur("asked_ms", f.asked).Dur("reports_age_ms", d.Age)
+	return e.Int("rank", d.Rank).Float64("share", d.Share).Bool("above_share", d.AboveShare).
+		Int("backlog", d.Backlog).Int("unread", d.PrefillTokens).Int("shared_unread", d.SharedTokens).Int("outstanding", d.Outstanding).
+		Dur("wait_ms", d.Wait).Dur("predicted_ms", d.Predicted).Float64("slowness", d.Slowness).Int("told", d.Replies).Dur("asked_ms", f.asked).Dur("reports_age_ms", d.ReportAge)
 }
 
 // noticed adds what the target said of itself in its answer, if it did.
@@ -80,7 +80,7 @@
 	case string(place.Overloaded):
 		e = f.decided(e)
 	case string(place.BackingOff):
-		e = e.Str("first", f.decision.First)
+		e = e.Str("first", f.decision.FirstAvailable)
 	case reasonEndsTargets:
 		e = e.Stringer("fingerprint", f.asks().Fingerprint())
 	case reasonRouterBusy:
--- a/relay/notice.go
+++ b/relay/notice.go
@@ -20,7 +20,7 @@
 		return
 	}
 	f.said = ans.facts.Notice
-	news := f.run.Notice(f.said)
+	news := f.run.ApplyNotice(f.said)
 	if news.Leaving {
 		f.server.options.Metrics.Inc(metric.NoticesLeaving)
 		f.server.logNotice(f, ans).Msg("target says that it leaves")
--- a/relay/notice_test.go
+++ b/relay/notice_test.go
@@ -75,7 +75,7 @@
 			f := newTarget(t, "t1", func(_ *arrival, c net.Conn) bool { return strange(c) })
 			s := newSite(t, f)
 			s.ask(t, "POST", "/once/", "r", "b")
-			assert.Equal(t, len(s.options.Placer.SaidLeaving()), 0)
+			assert.Equal(t, len(s.options.Placer.AnnouncedDraining()), 0)
 		})
 	}
 }
@@ -94,7 +94,7 @@
 	for i := range 2 {
 		assert.Equal(t, s.ask(t, "POST", "/once/", fmt.Sprint("r", i), "b").header.StatusCode(), 200)
 	}
-	assert.Equal(t, len(s.options.Placer.SaidLeaving()), 1)
+	assert.Equal(t, len(s.options.Placer.AnnouncedDraining()), 1)
 	assert.Equal(t, s.ask(t, "POST", "/once/", "r3", "b").header.StatusCode(), 503)
 }
 
@@ -104,7 +104,7 @@
 	assertNothingSentAfter(t, func(s *site, to netip.AddrPort) {
 		for _, target := range s.targets {
 			if target.Address == to {
-				s.options.Placer.HearLeaving(place.HashOf(target.Incarnation()))
+				s.options.Placer.MarkDraining(place.HashOf(target.Incarnation()))
 			}
 		}
 	})
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -74,7 +74,7 @@
 	Links   *link.Pool
 	// Ask asks the routers that answer for targets; it waits some milliseconds at most.
 	// Nil asks none.
-	Ask     func([]place.Question) []place.Answer
+	Ask     func([]place.Query) []place.Reply
 	Retries *request.Budget
 	// Quarantine knows the requests that end their targets.
 	Quarantine *quarantine.List
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -124,7 +124,7 @@
 // arrived notes new bytes: the first ones, and the whole events among them.
 func (s *stream) arrived() {
 	f := s.flight
-	f.run.Heard()
+	f.run.RecordReceived()
 	if !s.began {
 		s.began = true
 		if off, known := f.run.FirstEvent(!f.server.troubled()); known {
--- a/relay/version.go
+++ b/relay/version.go
@@ -23,7 +23,7 @@
 // beginVersion counts the attempt at the version of its target.
 func (f *flight) beginVersion() {
 	if rollouts := f.server.options.Rollouts; rollouts != nil {
-		f.run.Ended = rollouts.Begin(f.service, f.run.Target.Version)
+		f.run.OnEnd = rollouts.Begin(f.service, f.run.Target.Version)
 	}
 }
 
--- a/share/share.go
+++ b/share/share.go
@@ -12,7 +12,7 @@
 //
 // # Usage
 //
-//	slots, spare := share.Allocate(share.Input{Slots: 72, Routers: 9, Customers: cs, Catchup: 4000})
+//	slots, spare := share.Allocate(share.Input{Slots: 72, Routers: 9, Customers: cs, CatchUpLag: 4000})
 //	window := slots[self] + spare
 package share
 
@@ -29,9 +29,9 @@
 	// Routers is the number of routers that want slots.
 	Routers   int
 	Customers []Customer
-	// Catchup is the lag, in cost per unit of weight, that doubles the part of
+	// CatchUpLag is the lag, in cost per unit of weight, that doubles the part of
 	// a customer; 0 gives lagging customers no more.
-	Catchup float64
+	CatchUpLag float64
 }
 
 // Customer is the demand of one customer.
@@ -42,11 +42,11 @@
 	// Waiting customers have requests queued, so their lag counts.
 	Waiting bool
 	// Demand is the number of requests queued and running by router.
-	Demand []Part
+	Demand []RouterDemand
 }
 
-// Part is the demand of one customer at one router.
-type Part struct {
+// RouterDemand is the demand of one customer at one router.
+type RouterDemand struct {
 	Router   int
 	Requests int
 }
@@ -114,8 +114,8 @@
 	for i := range in.Customers {
 		c := &in.Customers[i]
 		weights[i] = c.Weight
-		if c.Waiting && in.Catchup > 0 {
-			weights[i] *= min(1+(most-c.Level)/in.Catchup, maxBoost)
+		if c.Waiting && in.CatchUpLag > 0 {
+			weights[i] *= min(1+(most-c.Level)/in.CatchUpLag, maxBoost)
 		}
 	}
 	return weights
@@ -145,12 +145,12 @@
 	DataCentre string
 }
 
-// Place returns how many of its slots the router self takes at each target.
+// Assign returns how many of its slots the router self takes at each target.
 // Data centres are those of the routers; want is the slots of each router, of
 // which the sum must not exceed the targets' slots. Routers take slots of
 // their own data centre first, one target after the other, so that every
 // router places alike and no slot is taken twice.
-func Place(targets []Target, dataCentres []string, want []int, self int) []int {
+func Assign(targets []Target, dataCentres []string, want []int, self int) []int {
 	p := placement{free: make([]int, len(targets)), left: slices.Clone(want), own: make([]int, len(targets)), self: self}
 	for i := range targets {
 		p.free[i] = targets[i].Slots
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -10,7 +10,7 @@
 
 // at is a customer of weight w that waits, with requests at one router.
 func at(router, requests int, w, level float64) Customer {
-	return Customer{Weight: w, Level: level, Waiting: true, Demand: []Part{{Router: router, Requests: requests}}}
+	return Customer{Weight: w, Level: level, Waiting: true, Demand: []RouterDemand{{Router: router, Requests: requests}}}
 }
 
 func TestAllocate(t *testing.T) {
@@ -27,8 +27,8 @@
 		{"a flood takes no more", Input{Slots: 8, Routers: 2, Customers: []Customer{at(0, 5000, 1, 0), at(1, 50, 1, 0)}}, []int{4, 4}, 0},
 		{"unused part goes on", Input{Slots: 8, Routers: 2, Customers: []Customer{at(0, 50, 1, 0), at(1, 1, 1, 0)}}, []int{7, 1}, 0},
 		{"spread customer", Input{Slots: 8, Routers: 2, Customers: []Customer{
-			{Weight: 1, Demand: []Part{{0, 30}, {1, 10}}}}}, []int{6, 2}, 0},
-		{"lag", Input{Slots: 9, Routers: 2, Catchup: 100, Customers: []Customer{at(0, 50, 1, 100), at(1, 50, 1, 0)}}, []int{3, 6}, 0},
+			{Weight: 1, Demand: []RouterDemand{{0, 30}, {1, 10}}}}}, []int{6, 2}, 0},
+		{"lag", Input{Slots: 9, Routers: 2, CatchUpLag: 100, Customers: []Customer{at(0, 50, 1, 100), at(1, 50, 1, 0)}}, []int{3, 6}, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -44,9 +44,9 @@
 func TestAllocateKeepsEverySlot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := Input{
-			Slots:   rapid.IntRange(1, 100).Draw(t, "slots"),
-			Routers: rapid.IntRange(1, 9).Draw(t, "routers"),
-			Catchup: rapid.Float64Range(0, 1000).Draw(t, "catchup"),
+			Slots:      rapid.IntRange(1, 100).Draw(t, "slots"),
+			Routers:    rapid.IntRange(1, 9).Draw(t, "routers"),
+			CatchUpLag: rapid.Float64Range(0, 1000).Draw(t, "catchup"),
 		}
 		demand := 0
 		for range rapid.IntRange(0, 20).Draw(t, "customers") {
@@ -58,7 +58,7 @@
 			for r := range in.Routers {
 				n := rapid.IntRange(0, 20).Draw(t, "requests")
 				if n > 0 {
-					c.Demand = append(c.Demand, Part{Router: r, Requests: n})
+					c.Demand = append(c.Demand, RouterDemand{Router: r, Requests: n})
 					demand += n
 				}
 			}
@@ -83,7 +83,7 @@
 func BenchmarkAllocate(b *testing.B) {
 	for _, customers := range []int{16, 60, 600} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
-			in := Input{Slots: 72, Routers: 9, Catchup: 4000}
+			in := Input{Slots: 72, Routers: 9, CatchUpLag: 4000}
 			for i := range customers {
 				in.Customers = append(in.Customers, at(i%in.Routers, i%13+1, float64(i%3+1), float64(i)))
 			}
@@ -110,7 +110,7 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			for self, want := range tc.out {
-				assert.DeepEqual(t, Place(targets, centres, tc.want, self), want)
+				assert.DeepEqual(t, Assign(targets, centres, tc.want, self), want)
 			}
 		})
 	}
@@ -138,7 +138,7 @@
 		taken := make([]int, len(targets))
 		for self := range want {
 			sum := 0
-			for i, n := range Place(targets, centres, want, self) {
+			for i, n := range Assign(targets, centres, want, self) {
 				taken[i] += n
 				sum += n
 			}
