--- a/contact/contact.go
+++ b/contact/contact.go
@@ -108,7 +108,7 @@
 
 // hearSuspects takes another router's word on requests under which targets ended.
 func (c *Contact) hearSuspects(told []*zinccovev1.Suspect, from netip.AddrPort) {
-	for _, f := range c.options.Quarantine.Learn(told) {
+	for _, f := range c.options.Quarantine.Merge(told) {
 		c.options.Log.Warn().Stringer("fingerprint", f).Stringer("peer", from).Msg("request barred, as another router says")
 	}
 }
@@ -181,7 +181,7 @@
 // TellSuspects tells other routers of requests under which targets ended, if there is
 // anything to tell, and returns its cost in bytes.
 func (c *Contact) TellSuspects(to ...netip.AddrPort) (cost int) {
-	if hb := c.options.Quarantine.Tell(); hb != nil {
+	if hb := c.options.Quarantine.NextHeartbeat(); hb != nil {
 		_, cost = c.Send(hb, to...)
 	}
 	return cost
--- a/contact/contact_test.go
+++ b/contact/contact_test.go
@@ -123,7 +123,7 @@
 	assert.Equal(t, b.TellSuspects(addressOf(0)), 0, "nothing to tell")
 	content := &quarantine.Content{Customer: "c", Body: []byte("x")}
 	for i := range 2 {
-		b.options.Quarantine.Lost(content, quarantine.Loss{Target: quarantine.Target(i + 1)})
+		b.options.Quarantine.RecordLoss(content, quarantine.Loss{Target: quarantine.IncarnationHash(i + 1)})
 	}
 	assert.Equal(t, b.TellSuspects(addressOf(0)), 100)
 	assert.Assert(t, a.options.Quarantine.Barred(content))
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -147,7 +147,7 @@
 
 // noticed tells that a target gets nothing for a while, as it said itself.
 func (d *Daemon) noticed(t config.Target, n notice.Notice) {
-	if n.Leaving {
+	if n.Draining {
 		d.metrics.Inc(metric.NoticesLeaving)
 		d.log.Info().Str("target", t.Name).Stringer("address", t.Address).Msg("target says that it leaves")
 		return
@@ -196,7 +196,7 @@
 	d.group.Go(func() error { return d.loop.run(ctx) })
 	d.group.Go(func() error { return d.poll(ctx) })
 	d.group.Go(func() error { return d.giveOrders(ctx) })
-	keeper := quarantine.Keeper{List: d.quarantine, Table: d.platform.Table(), Clock: d.clock, Log: d.log, Metrics: d.metrics}
+	keeper := quarantine.Persister{List: d.quarantine, Table: d.platform.Table(), Clock: d.clock, Log: d.log, Metrics: d.metrics}
 	d.group.Go(func() error { return keeper.Run(ctx) })
 	d.log.Info().Stringer("caller", d.ingress.Address()).Stringer("control", d.control.Address()).
 		Stringer("peer", d.transport.Address()).Msg("started")
--- a/dispatch/quiet_test.go
+++ b/dispatch/quiet_test.go
@@ -20,9 +20,9 @@
 // one. What waits and cannot be served in time is refused at once, the rest waits.
 func TestTargetGetsNothingInItsBackoff(t *testing.T) {
 	const backoff = 3 * time.Second
-	for name, n := range map[string]notice.Notice{"backoff": {Backoff: backoff}, "leaving": {Leaving: true}} {
+	for name, n := range map[string]notice.Notice{"backoff": {Backoff: backoff}, "leaving": {Draining: true}} {
 		t.Run(name, func(t *testing.T) {
-			pause := max(n.Backoff, map[bool]time.Duration{true: leavingPause}[n.Leaving])
+			pause := max(n.Backoff, map[bool]time.Duration{true: leavingPause}[n.Draining])
 			f := newFixture(t, 1, 1)
 			slot := <-f.submit(t, 1).Granted()
 			quiet := slot.Target().Number
--- a/dispatch/target.go
+++ b/dispatch/target.go
@@ -60,7 +60,7 @@
 // on. It is no failure of the target's.
 func (t *target) notice(n notice.Notice, now time.Time) (quiet bool) {
 	pause := n.Backoff
-	if n.Leaving {
+	if n.Draining {
 		pause = max(pause, leavingPause)
 	}
 	until := now.Add(pause)
--- a/gateway/configuration.go
+++ b/gateway/configuration.go
@@ -47,7 +47,7 @@
 		g := l.gateway
 		g.metrics.Inc(metric.StoreWentBack)
 		g.log.Warn().Uint64("era", r.Era).Uint64("era_before", before).Uint64("version", r.Count).Msg("store came back from a copy")
-		g.quarantine.KeepAgain()
+		g.quarantine.PersistAgain()
 		g.announceAgain()
 	}
 	return wentBack
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -181,7 +181,7 @@
 		collector: collector.New(s.Memory()), rollouts: rollout.New(rollout.Options{Clock: o.Clock, ExposeShare: s.ExposeShare}),
 		peers: &http.Client{Timeout: peerTimeout, Transport: &http.Transport{IdleConnTimeout: peerIdle}},
 		streams: &http.Client{Transport: &http.Transport{IdleConnTimeout: peerIdle, DialContext: func(_ context.Context, _, addr string) (net.Conn, error) {
-			return link.DialTimeout(addr, link.LongestDial)
+			return link.DialTimeout(addr, link.MaxDialTimeout)
 		}}},
 		store: platform.New(platform.Options{
 			Address: s.PlatformAddress, Clock: o.Clock, Timeout: s.PlatformTimeout, Dial: link.DialTimeout,
@@ -222,11 +222,11 @@
 	}
 	g.relay, err = relay.Listen(relay.Options{
 		Address: s.ListenCaller, Clock: g.clock, Log: g.lines.requests(g.log), Metrics: g.metrics, Codec: platform.Codec,
-		View: g.view, Placer: g.placer, Links: g.links, Ask: g.asker.ask,
-		Retries: g.retries, Quarantine: g.quarantine, Rollouts: g.rollouts, Judged: g.loop.judged,
+		View: g.view, Placer: g.placer, Links: g.links, Query: g.asker.ask,
+		Retries: g.retries, Quarantine: g.quarantine, Rollouts: g.rollouts, OnVersionFailure: g.loop.judged,
 		Limits: relay.Limits{
-			BodyBytes: s.MaxBodyBytes, HeaderBytes: s.MaxHeaderBytes, Connections: s.MaxConnections, Memory: s.Memory(), Write: s.WriteTimeout,
-			Announce: s.StopDelay, Quiet: stopQuiet, Stop: s.StopTimeout - stopMargin,
+			BodyBytes: s.MaxBodyBytes, HeaderBytes: s.MaxHeaderBytes, Connections: s.MaxConnections, Memory: s.Memory(), WriteTimeout: s.WriteTimeout,
+			StopDelay: s.StopDelay, QuietPeriod: stopQuiet, StopTimeout: s.StopTimeout - stopMargin,
 		},
 	})
 	if err != nil {
@@ -244,7 +244,7 @@
 	g.group.Go(func() error { return g.followTargets(ctx) })
 	g.group.Go(func() error { return g.followRouters(ctx) })
 	g.group.Go(func() error { return g.announce(ctx) })
-	keeper := quarantine.Keeper{List: g.quarantine, Table: g.store.Table(), Clock: g.clock, Log: g.log, Metrics: g.metrics}
+	keeper := quarantine.Persister{List: g.quarantine, Table: g.store.Table(), Clock: g.clock, Log: g.log, Metrics: g.metrics}
 	g.group.Go(func() error { return keeper.Run(ctx) })
 	g.log.Info().Stringer("caller", g.relay.Address()).Stringer("control", g.control.Address()).Stringer("peer", g.transport.Address()).
 		Stringer("platform", s.PlatformAddress).Str("data_centre", s.DataCentre).Float64("memory_mb", s.MemoryMB).Bool("first_start", s.FirstStart).Msg("started")
@@ -279,7 +279,7 @@
 
 // ready reports whether the balancer may send callers here.
 func (g *Gateway) ready() bool {
-	return g.table.Load() != nil && !g.stopping.Load() && !g.relay.Strained()
+	return g.table.Load() != nil && !g.stopping.Load() && !g.relay.Overloaded()
 }
 
 // freshFor is how long a confirmation of the store holds: a feed is held open
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -55,8 +55,8 @@
 }
 
 func ask(id string) place.Request {
-	return place.Request{Service: "m", Customer: "c", Objective: 1e9, Call: &message.Call{
-		Parts: []message.Part{{ID: "shared", Tokens: 900}, {ID: id, Tokens: 100}}, PromptTokens: 1000, MaxTokens: 10,
+	return place.Request{Service: "m", Customer: "c", Objective: 1e9, Call: &message.RequestInfo{
+		PrefixParts: []message.PrefixPart{{ID: "shared", Tokens: 900}, {ID: id, Tokens: 100}}, PromptTokens: 1000, MaxTokens: 10,
 	}}
 }
 
@@ -244,7 +244,7 @@
 	for i := range requests {
 		r := ask("x")
 		r.Customer = fmt.Sprint(i % customers)
-		r.Call.Parts[0].ID = fmt.Sprint(i)
+		r.Call.PrefixParts[0].ID = fmt.Sprint(i)
 		if p.Place(r).Run != nil {
 			placed++
 		}
--- a/hangup/hangup.go
+++ b/hangup/hangup.go
@@ -109,8 +109,8 @@
 
 // The states.
 const (
-	// Quiet: open, and nothing arrived.
-	Quiet State = iota
+	// Idle: open, and nothing arrived.
+	Idle State = iota
 	// Readable: bytes arrived that were not read yet.
 	Readable
 	// Closed: the other side closed or reset the connection.
@@ -131,7 +131,7 @@
 	case cerr != nil:
 		return Closed
 	case err == unix.EAGAIN || err == unix.EINTR:
-		return Quiet
+		return Idle
 	case err != nil || n == 0:
 		return Closed
 	default:
--- a/ingress/flow.go
+++ b/ingress/flow.go
@@ -192,7 +192,7 @@
 		return f.refused(refuse(CodeCallerGone, "the caller went away"))
 	}
 	if fail.Dropped() {
-		f.server.options.Quarantine.Lost(&f.asks, quarantine.Loss{Target: runOf(f.slot.Target(), now), Partial: f.partial})
+		f.server.options.Quarantine.RecordLoss(&f.asks, quarantine.Loss{Target: runOf(f.slot.Target(), now), Partial: f.partial})
 	}
 	f.release(results[fail.Kind])
 	if f.request.Fail(fail.Kind, now, f.server.retries.Take) == request.Retry {
@@ -207,17 +207,17 @@
 
 // runOf names the run of a target that ended. Targets that operators declare do not say when
 // they started: those that ended in the same second are taken for one run.
-func runOf(t config.Target, ended time.Time) quarantine.Target {
+func runOf(t config.Target, ended time.Time) quarantine.IncarnationHash {
 	var b [12]byte
 	binary.BigEndian.PutUint32(b[:4], t.Number)
 	binary.BigEndian.PutUint64(b[4:], uint64(ended.Unix()))
-	return quarantine.Target(xxhash.Sum64(b[:]))
+	return quarantine.IncarnationHash(xxhash.Sum64(b[:]))
 }
 
 // answered notes that the whole answer came.
 func (f *flow) answered() {
 	f.request.Answer()
-	f.server.options.Quarantine.Answered(&f.asks)
+	f.server.options.Quarantine.RecordResponse(&f.asks)
 }
 
 // firstBackOff is the longest wait before the first retry; it doubles with
--- a/link/link.go
+++ b/link/link.go
@@ -11,7 +11,7 @@
 //
 //	p := link.NewPool(link.Options{Clock: clock})
 //	defer p.Close()
-//	c, err := p.Get(target.ID, target.Address, link.Recent, link.LongestDial)
+//	c, err := p.Get(target.ID, target.Address, link.ShortIdle, link.MaxDialTimeout)
 //	...
 //	p.Put(c, idle) // or c.Close()
 package link
@@ -32,21 +32,21 @@
 	"zinccove.example/zinccove/hangup"
 )
 
-// Freshness is how long a connection may have rested before it is used again.
-type Freshness time.Duration
+// IdleLimit is how long a connection may have rested before it is used again.
+type IdleLimit time.Duration
 
 const (
-	// Recent is for requests that must not be repeated: shorter than any target
+	// ShortIdle is for requests that must not be repeated: shorter than any target
 	// forgets a connection.
-	Recent = Freshness(400 * time.Millisecond)
-	// Rested is for requests that may be sent again.
-	Rested = Freshness(3 * time.Second)
+	ShortIdle = IdleLimit(400 * time.Millisecond)
+	// LongIdle is for requests that may be sent again.
+	LongIdle = IdleLimit(3 * time.Second)
 )
 
 const (
-	// LongestDial bounds connecting; inside a region it takes a few milliseconds,
+	// MaxDialTimeout bounds connecting; inside a region it takes a few milliseconds,
 	// also when a target is busy.
-	LongestDial = 150 * time.Millisecond
+	MaxDialTimeout = 150 * time.Millisecond
 	// deadPeer is how long sent bytes may stay unacknowledged, and how long a
 	// silent peer is probed, before the connection counts as broken.
 	deadPeer = 2 * time.Second
@@ -90,12 +90,12 @@
 	return DialTimeout(addr.String(), timeout)
 }
 
-// DialTimeout connects to an address within a timeout, at most LongestDial. The
+// DialTimeout connects to an address within a timeout, at most MaxDialTimeout. The
 // connection breaks when the peer is silent for some seconds while it is probed
 // or sent to.
 func DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{
-		Timeout:         min(timeout, LongestDial),
+		Timeout:         min(timeout, MaxDialTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeAfter, Count: int(deadPeer / probeAfter)},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
@@ -127,7 +127,7 @@
 
 // Get returns a connection to a target, a new one within a timeout. Only a failure
 // to connect is an error, so nothing was sent then.
-func (p *Pool) Get(target string, addr netip.AddrPort, fresh Freshness, timeout time.Duration) (*Conn, error) {
+func (p *Pool) Get(target string, addr netip.AddrPort, fresh IdleLimit, timeout time.Duration) (*Conn, error) {
 	for {
 		c := p.take(target, fresh)
 		if c == nil {
@@ -158,7 +158,7 @@
 
 // take removes and returns the connection that rested least, if it rested for
 // less than fresh.
-func (p *Pool) take(target string, fresh Freshness) *Conn {
+func (p *Pool) take(target string, fresh IdleLimit) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[target]
@@ -176,7 +176,7 @@
 
 // quiet reports whether nothing arrived on an idle connection.
 func (c *Conn) quiet() bool {
-	return c.Reader.Buffered() == 0 && (c.raw == nil || hangup.Peek(c.raw) == hangup.Quiet)
+	return c.Reader.Buffered() == 0 && (c.raw == nil || hangup.Peek(c.raw) == hangup.Idle)
 }
 
 // Put gives a connection back after a whole answer. Idle is how long the
@@ -212,7 +212,7 @@
 	for target, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if known(target) && now.Before(c.until) && now.Sub(c.rested) < time.Duration(Rested) {
+			if known(target) && now.Before(c.until) && now.Sub(c.rested) < time.Duration(LongIdle) {
 				kept = append(kept, c)
 			} else {
 				stale = append(stale, c)
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -38,34 +38,34 @@
 	return p, clock, &far
 }
 
-func get(t *testing.T, p *Pool, target string, fresh Freshness) *Conn {
+func get(t *testing.T, p *Pool, target string, fresh IdleLimit) *Conn {
 	t.Helper()
-	c, err := p.Get(target, addr, fresh, LongestDial)
+	c, err := p.Get(target, addr, fresh, MaxDialTimeout)
 	assert.NilError(t, err)
 	return c
 }
 
 func TestConnectionIsUsedAgainOnlyForItsTarget(t *testing.T) {
 	p, _, far := newTestPool(t)
-	p.Put(get(t, p, "a", Rested), 0)
-	assert.Assert(t, !get(t, p, "b", Rested).Reused)
-	assert.Assert(t, get(t, p, "a", Rested).Reused)
+	p.Put(get(t, p, "a", LongIdle), 0)
+	assert.Assert(t, !get(t, p, "b", LongIdle).Reused)
+	assert.Assert(t, get(t, p, "a", LongIdle).Reused)
 	assert.Equal(t, len(*far), 2)
 }
 
 func TestRestedConnectionIsNotForRequestsThatMustNotBeRepeated(t *testing.T) {
 	p, clock, _ := newTestPool(t)
-	p.Put(get(t, p, "a", Recent), 0)
-	clock.Advance(time.Duration(Recent) + time.Millisecond)
-	assert.Assert(t, !get(t, p, "a", Recent).Reused)
-	assert.Assert(t, get(t, p, "a", Rested).Reused)
+	p.Put(get(t, p, "a", ShortIdle), 0)
+	clock.Advance(time.Duration(ShortIdle) + time.Millisecond)
+	assert.Assert(t, !get(t, p, "a", ShortIdle).Reused)
+	assert.Assert(t, get(t, p, "a", LongIdle).Reused)
 }
 
 func TestConnectionIsGivenUpBeforeTheTargetDoes(t *testing.T) {
 	p, clock, _ := newTestPool(t)
-	p.Put(get(t, p, "a", Rested), 2*time.Second)
+	p.Put(get(t, p, "a", LongIdle), 2*time.Second)
 	clock.Advance(2*time.Second - idleMargin + time.Millisecond)
-	assert.Assert(t, !get(t, p, "a", Rested).Reused)
+	assert.Assert(t, !get(t, p, "a", LongIdle).Reused)
 }
 
 func TestBytesBetweenRequestsEndTheConnection(t *testing.T) {
@@ -74,26 +74,26 @@
 		func(c net.Conn) { c.Close() },
 	} {
 		p, _, far := newTestPool(t)
-		p.Put(get(t, p, "a", Rested), 0)
+		p.Put(get(t, p, "a", LongIdle), 0)
 		disturb((*far)[0])
 		time.Sleep(20 * time.Millisecond)
-		assert.Assert(t, !get(t, p, "a", Rested).Reused)
+		assert.Assert(t, !get(t, p, "a", LongIdle).Reused)
 	}
 }
 
 func TestSweepClosesConnectionsOfUnknownTargets(t *testing.T) {
 	p, clock, far := newTestPool(t)
-	p.Put(get(t, p, "a", Rested), 0)
-	p.Put(get(t, p, "b", Rested), 0)
+	p.Put(get(t, p, "a", LongIdle), 0)
+	p.Put(get(t, p, "b", LongIdle), 0)
 	p.Sweep(func(target string) bool { return target == "a" })
 	_, err := (*far)[1].Read(make([]byte, 1))
 	assert.ErrorContains(t, err, "EOF")
-	assert.Assert(t, get(t, p, "a", Rested).Reused)
+	assert.Assert(t, get(t, p, "a", LongIdle).Reused)
 	clock.Advance(time.Hour)
 }
 
 func TestFailureToConnectIsAnError(t *testing.T) {
 	p := NewPool(Options{Clock: clockwork.NewFakeClock()})
-	_, err := p.Get("a", addr, Rested, LongestDial)
+	_, err := p.Get("a", addr, LongIdle, MaxDialTimeout)
 	assert.ErrorContains(t, err, "connect to target (127.0.0.1:1)")
 }
--- a/message/message.go
+++ b/message/message.go
@@ -6,9 +6,9 @@
 //
 // # Usage
 //
-//	call, err := codec.Call(&ctx.Request.Header)
+//	call, err := codec.DecodeRequest(&ctx.Request.Header)
 //	head = codec.AppendRequest(head, &ctx.Request.Header, message.Forward{...})
-//	answer := codec.Answer(&header)
+//	response := codec.DecodeResponse(&header)
 package message
 
 import (
@@ -20,38 +20,38 @@
 	"zinccove.example/zinccove/notice"
 )
 
-// Part is a piece of a prompt that other requests may share.
-type Part struct {
+// PrefixPart is a piece of a prompt that other requests may share.
+type PrefixPart struct {
 	ID     string
 	Tokens int
 }
 
-// Call is what a caller says about its request.
-type Call struct {
+// RequestInfo is what a caller says about its request.
+type RequestInfo struct {
 	// ID differs between any two attempts of all callers.
 	ID string
 	// Deadline is how long the caller waits; 0 means it did not say.
 	Deadline time.Duration
 	// Key is the caller's API key, empty if it sent none.
 	Key string
-	// Parts are the pieces of the prompt in order. The last one belongs to this
+	// PrefixParts are the pieces of the prompt in order. The last one belongs to this
 	// request or its session, the ones before it are shared.
-	Parts []Part
+	PrefixParts []PrefixPart
 	// PromptTokens and MaxTokens are the size of the prompt and the most tokens
 	// of the answer.
 	PromptTokens int
 	MaxTokens    int
 	// HintTokens is the caller's guess of the answer's tokens; 0 if none.
 	HintTokens int
-	// LastEvent is the id of the last event that a resuming caller has.
-	LastEvent string
+	// LastEventID is the id of the last event that a resuming caller has.
+	LastEventID string
 }
 
-// SharedTokens returns the size of the shared parts of the prompt.
-func (c *Call) SharedTokens() int {
+// SharedPrefixTokens returns the size of the shared parts of the prompt.
+func (c *RequestInfo) SharedPrefixTokens() int {
 	n := 0
-	for i := range len(c.Parts) - 1 {
-		n += c.Parts[i].Tokens
+	for i := range len(c.PrefixParts) - 1 {
+		n += c.PrefixParts[i].Tokens
 	}
 	return n
 }
@@ -62,11 +62,11 @@
 	Target string
 	// Customer is the name of the customer, empty if there is none.
 	Customer string
-	// Left is the time that the target may take.
-	Left time.Duration
-	// LastEvent is the id of the last event that was delivered, if the request
+	// Remaining is the time that the target may take.
+	Remaining time.Duration
+	// LastEventID is the id of the last event that was delivered, if the request
 	// goes on with a stream that broke.
-	LastEvent string
+	LastEventID string
 	// CopyFrom is the target from which this one takes what it lacks of the prompt; not
 	// valid if there is none.
 	CopyFrom netip.AddrPort
@@ -74,16 +74,16 @@
 	HideKey bool
 }
 
-// Answer is what a target says about its answer.
-type Answer struct {
+// ResponseInfo is what a target says about its answer.
+type ResponseInfo struct {
 	// ID is the request that the answer is for.
 	ID string
 	// Signed answers carry the target's signature.
 	Signed bool
 	// NotRun means that the target says that it did not run the request.
 	NotRun bool
-	// Idle is how long the target keeps the connection; 0 if it did not say.
-	Idle time.Duration
+	// IdleTimeout is how long the target keeps the connection; 0 if it did not say.
+	IdleTimeout time.Duration
 	// Close means that the target closes the connection after the answer.
 	Close bool
 	// Notice is what the target says of itself.
@@ -92,13 +92,13 @@
 
 // Codec translates headers. All fields are required.
 type Codec struct {
-	// Call decodes a caller's request; the error names the header that is wrong.
-	Call func(*fasthttp.RequestHeader) (Call, error)
+	// DecodeRequest decodes a caller's request; the error names the header that is wrong.
+	DecodeRequest func(*fasthttp.RequestHeader) (RequestInfo, error)
 	// AppendRequest appends the header lines of a request to a target, without
 	// request line, framing and the end of the header.
 	AppendRequest func(dst []byte, h *fasthttp.RequestHeader, f Forward) []byte
-	// Answer decodes a target's answer.
-	Answer func(*fasthttp.ResponseHeader) Answer
-	// CopyAnswer copies the header lines of an answer that concern the caller.
-	CopyAnswer func(dst, src *fasthttp.ResponseHeader)
+	// DecodeResponse decodes a target's answer.
+	DecodeResponse func(*fasthttp.ResponseHeader) ResponseInfo
+	// CopyResponse copies the header lines of an answer that concern the caller.
+	CopyResponse func(dst, src *fasthttp.ResponseHeader)
 }
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -9,8 +9,8 @@
 //
 // # Usage
 //
-//	news := state.Take(codec.Answer(header).Notice, clock.Now())
-//	if state.Leaving() || state.BacksOff(clock.Now()) {
+//	news := state.Apply(codec.DecodeResponse(header).Notice, clock.Now())
+//	if state.Draining() || state.BackingOff(clock.Now()) {
 //		// choose another target
 //	}
 package notice
@@ -26,8 +26,8 @@
 
 // Notice is what one answer says of the target that gave it.
 type Notice struct {
-	// Leaving means that the target will end and wants nothing new.
-	Leaving bool
+	// Draining means that the target will end and wants nothing new.
+	Draining bool
 	// Backoff is how long the target wants nothing from this router; 0 if it did not say.
 	Backoff time.Duration
 }
@@ -39,16 +39,16 @@
 	until time.Time
 }
 
-// Take takes a notice that arrived now, and returns what of it is news. That a target leaves
+// Apply takes a notice that arrived now, and returns what of it is news. That a target leaves
 // is never taken back, and of several backoffs the one that ends last holds. A longer one is
 // no news while another holds.
-func (s *State) Take(n Notice, now time.Time) (news Notice) {
-	news.Leaving = n.Leaving && !s.leaving
-	s.leaving = s.leaving || n.Leaving
+func (s *State) Apply(n Notice, now time.Time) (news Notice) {
+	news.Draining = n.Draining && !s.leaving
+	s.leaving = s.leaving || n.Draining
 	if n.Backoff <= 0 {
 		return news
 	}
-	if !s.BacksOff(now) {
+	if !s.BackingOff(now) {
 		news.Backoff = n.Backoff
 	}
 	if until := now.Add(n.Backoff); until.After(s.until) {
@@ -57,14 +57,14 @@
 	return news
 }
 
-// BacksOff reports whether the target wants nothing from this router now.
-func (s *State) BacksOff(now time.Time) bool { return now.Before(s.until) }
+// BackingOff reports whether the target wants nothing from this router now.
+func (s *State) BackingOff(now time.Time) bool { return now.Before(s.until) }
 
-// Until is when the last backoff ends; zero if there was none.
-func (s *State) Until() time.Time { return s.until }
+// BackoffEnd is when the last backoff ends; zero if there was none.
+func (s *State) BackoffEnd() time.Time { return s.until }
 
-// Leaving reports whether the target said that it leaves.
-func (s *State) Leaving() bool { return s.leaving }
+// Draining reports whether the target said that it leaves.
+func (s *State) Draining() bool { return s.leaving }
 
 // longestBackoff bounds what is believed of a Retry-After header.
 const longestBackoff = 24 * time.Hour
--- a/place/admit.go
+++ b/place/admit.go
@@ -58,7 +58,7 @@
 }
 
 // costOf is the size of a request in tokens, for comparing customers.
-func costOf(c *message.Call) int {
+func costOf(c *message.RequestInfo) int {
 	made := c.HintTokens
 	if made == 0 {
 		made = c.MaxTokens
--- a/place/grade.go
+++ b/place/grade.go
@@ -24,12 +24,12 @@
 }
 
 // drains reports whether the target is leaving, by its entry or by its own word.
-func (t *target) drains() bool { return t.Draining || t.noticed != nil && t.noticed.Leaving() }
+func (t *target) drains() bool { return t.Draining || t.noticed != nil && t.noticed.Draining() }
 
 // backsOff reports whether the target asked this router for a backoff that goes on. It is
 // then not used even if there is no other: it would only turn requests away, and callers are
 // better told at once.
-func (t *target) backsOff(now time.Time) bool { return t.noticed != nil && t.noticed.BacksOff(now) }
+func (t *target) backsOff(now time.Time) bool { return t.noticed != nil && t.noticed.BackingOff(now) }
 
 // declines reports whether the target wants no more requests of this router for now.
 func (t *target) declines(now time.Time) bool { return t.backsOff(now) || t.recovers(now) }
--- a/place/home.go
+++ b/place/home.go
@@ -107,14 +107,14 @@
 )
 
 // homeKey is the last shared part of a prompt, or the only one.
-func homeKey(c *message.Call) string {
-	switch n := len(c.Parts); n {
+func homeKey(c *message.RequestInfo) string {
+	switch n := len(c.PrefixParts); n {
 	case 0:
 		return c.ID
 	case 1:
-		return c.Parts[0].ID
+		return c.PrefixParts[0].ID
 	default:
-		return c.Parts[n-2].ID
+		return c.PrefixParts[n-2].ID
 	}
 }
 
--- a/place/kept.go
+++ b/place/kept.go
@@ -69,13 +69,13 @@
 	own int
 }
 
-func newPrompt(c *message.Call) prompt {
+func newPrompt(c *message.RequestInfo) prompt {
 	p := prompt{total: max(c.PromptTokens, 1)}
-	for i := range len(c.Parts) - 1 {
-		p.shared = append(p.shared, HashOf(c.Parts[i].ID))
-		p.sizes = append(p.sizes, c.Parts[i].Tokens)
+	for i := range len(c.PrefixParts) - 1 {
+		p.shared = append(p.shared, HashOf(c.PrefixParts[i].ID))
+		p.sizes = append(p.sizes, c.PrefixParts[i].Tokens)
 	}
-	p.own = max(p.total-c.SharedTokens(), 1)
+	p.own = max(p.total-c.SharedPrefixTokens(), 1)
 	return p
 }
 
--- a/place/notices.go
+++ b/place/notices.go
@@ -43,7 +43,7 @@
 func (p *Placer) HearLeaving(target Hash) (news bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.notice(target, notice.Notice{Leaving: true}).Leaving
+	return p.notice(target, notice.Notice{Draining: true}).Draining
 }
 
 func (p *Placer) notice(target Hash, n notice.Notice) (news notice.Notice) {
@@ -60,7 +60,7 @@
 	if t := p.byHash[target]; t != nil {
 		t.noticed = s
 	}
-	news = s.Take(n, now)
+	news = s.Apply(n, now)
 	if news.Backoff > 0 {
 		s.taken = 0
 	}
@@ -76,7 +76,7 @@
 // for it would make it ask for the next backoff.
 func (t *target) recovers(now time.Time) bool {
 	s := t.noticed
-	if s == nil || s.Until().IsZero() || now.Sub(s.Until()) >= recoversFor {
+	if s == nil || s.BackoffEnd().IsZero() || now.Sub(s.BackoffEnd()) >= recoversFor {
 		return false
 	}
 	full := t.Slots > 0 && t.outstanding() >= t.Slots
@@ -97,7 +97,7 @@
 	defer p.mu.Unlock()
 	var list []Hash
 	for h, s := range p.notices {
-		if t := p.byHash[h]; t != nil && s.Leaving() && !t.Draining {
+		if t := p.byHash[h]; t != nil && s.Draining() && !t.Draining {
 			list = append(list, h)
 		}
 	}
@@ -124,14 +124,14 @@
 		case p.leaves(t) || !r.allows(t.region):
 		case !t.declines(now):
 			return 0, nil
-		case first == nil || t.noticed.Until().Before(first.noticed.Until()):
+		case first == nil || t.noticed.BackoffEnd().Before(first.noticed.BackoffEnd()):
 			first = t
 		}
 	}
 	if first == nil {
 		return 0, nil
 	}
-	return max(first.noticed.Until().Sub(now), 0), first
+	return max(first.noticed.BackoffEnd().Sub(now), 0), first
 }
 
 // returnPart is the part of the time that is left of a backoff by which callers are asked
--- a/place/notices_test.go
+++ b/place/notices_test.go
@@ -46,8 +46,8 @@
 			p, clock := newTestPlacer(t)
 			run := runAt(t, p, service)
 			id := run.Target.ID
-			assert.Equal(t, run.Notice(notice.Notice{Leaving: true}), notice.Notice{Leaving: true})
-			assert.Equal(t, run.Notice(notice.Notice{Leaving: true}), notice.Notice{}, "told twice")
+			assert.Equal(t, run.Notice(notice.Notice{Draining: true}), notice.Notice{Draining: true})
+			assert.Equal(t, run.Notice(notice.Notice{Draining: true}), notice.Notice{}, "told twice")
 			assert.Assert(t, run.Declines(), "it may have been placed before, and not sent yet")
 			run.End(Answered)
 			all := append(targets("model", 9), targets("plain", 3)...)
@@ -141,7 +141,7 @@
 func TestCallersAreAskedBackWhenTheFirstTargetTakesRequests(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	for i, backoff := range []time.Duration{4 * time.Second, 2 * time.Second, time.Second} {
-		p.notice(HashOf(fmt.Sprint("plain-", i)), notice.Notice{Backoff: backoff, Leaving: i == 2})
+		p.notice(HashOf(fmt.Sprint("plain-", i)), notice.Notice{Backoff: backoff, Draining: i == 2})
 	}
 	r := ask(call("some", 1000, 10), "c")
 	r.Service = "plain"
--- a/place/place.go
+++ b/place/place.go
@@ -65,7 +65,7 @@
 	Customer  string
 	Objective time.Duration
 	// Call is what the caller said.
-	Call *message.Call
+	Call *message.RequestInfo
 	// Tried are the incarnations of targets that the request was sent to before.
 	Tried []string
 	// Regions are those in which the request may run; nil allows all.
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -45,14 +45,14 @@
 	return p, clock
 }
 
-func call(shared string, sharedTokens, own int) *message.Call {
-	return &message.Call{
-		Parts:        []message.Part{{ID: shared, Tokens: sharedTokens}, {ID: "own", Tokens: own}},
+func call(shared string, sharedTokens, own int) *message.RequestInfo {
+	return &message.RequestInfo{
+		PrefixParts:  []message.PrefixPart{{ID: shared, Tokens: sharedTokens}, {ID: "own", Tokens: own}},
 		PromptTokens: sharedTokens + own, MaxTokens: 100,
 	}
 }
 
-func ask(c *message.Call, customer string) Request {
+func ask(c *message.RequestInfo, customer string) Request {
 	return Request{Service: "model", Customer: customer, Objective: objective, Call: c}
 }
 
@@ -196,7 +196,7 @@
 	p, _ := newTestPlacer(t)
 	counts := make(map[string]int)
 	for range 9 {
-		d := p.Place(Request{Service: "plain", Call: new(message.Call)})
+		d := p.Place(Request{Service: "plain", Call: new(message.RequestInfo)})
 		counts[d.Run.Target.ID]++
 	}
 	for id, n := range counts {
@@ -210,7 +210,7 @@
 	list := targets("plain", 3)
 	list[0].Draining = true
 	p.SetTargets(list, table(t))
-	r := Request{Service: "plain", Call: new(message.Call), Tried: []string{"plain-1"}}
+	r := Request{Service: "plain", Call: new(message.RequestInfo), Tried: []string{"plain-1"}}
 	for range openAfter {
 		d := p.Place(r)
 		assert.Equal(t, d.Run.Target.ID, "plain-2")
@@ -239,7 +239,7 @@
 
 func TestOnlyDoubtfulTargetsAreBetterThanNone(t *testing.T) {
 	p, _ := newTestPlacer(t)
-	r := Request{Service: "plain", Call: new(message.Call)}
+	r := Request{Service: "plain", Call: new(message.RequestInfo)}
 	for range 3 * openAfter {
 		p.Place(r).Run.End(Failed)
 	}
@@ -248,7 +248,7 @@
 
 func TestGreyTargetIsLeftAloneForAWhile(t *testing.T) {
 	p, clock := newTestPlacer(t)
-	r := Request{Service: "plain", Call: new(message.Call)}
+	r := Request{Service: "plain", Call: new(message.RequestInfo)}
 	place := func() (grey int) {
 		for range 90 {
 			d := p.Place(r)
@@ -273,11 +273,11 @@
 	p, _ := newTestPlacer(t)
 	used := make(map[string]bool)
 	for range 90 {
-		d := p.Place(Request{Service: "plain", Call: new(message.Call)})
+		d := p.Place(Request{Service: "plain", Call: new(message.RequestInfo)})
 		d.Run.End(Faulty)
 	}
 	for range 30 {
-		d := p.Place(Request{Service: "plain", Call: new(message.Call)})
+		d := p.Place(Request{Service: "plain", Call: new(message.RequestInfo)})
 		used[d.Run.Target.ID] = true
 		d.Run.End(Faulty)
 	}
@@ -291,7 +291,7 @@
 	list[0].DataCentre, list[1].DataCentre = "here", "there"
 	p.SetTargets(list, table(t))
 	beats := map[string]time.Time{"there": clock.Now()}
-	r := Request{Service: "plain", Call: new(message.Call), Tried: []string{"plain-0"}}
+	r := Request{Service: "plain", Call: new(message.RequestInfo), Tried: []string{"plain-0"}}
 	run := p.Place(r).Run
 	clock.Advance(LeastSilence / 2)
 	run.Heard()
--- a/place/plain_test.go
+++ b/place/plain_test.go
@@ -136,7 +136,7 @@
 
 func (f *plainFleet) place(c *plainCall) {
 	router := f.random.IntN(len(f.placers))
-	r := Request{Service: "plain", Customer: c.customer, Objective: plainObjective, Call: new(message.Call)}
+	r := Request{Service: "plain", Customer: c.customer, Objective: plainObjective, Call: new(message.RequestInfo)}
 	d := f.placers[router].Place(r, f.answers(router, r)...)
 	switch {
 	case d.Run != nil:
@@ -264,7 +264,7 @@
 		}
 		return requests
 	}
-	run := p.Place(Request{Service: "plain", Objective: plainObjective, Call: new(message.Call)}).Run
+	run := p.Place(Request{Service: "plain", Objective: plainObjective, Call: new(message.RequestInfo)}).Run
 	assert.Equal(t, told(), 1)
 	run.End(Answered)
 	assert.Equal(t, told(), 0)
@@ -274,7 +274,7 @@
 // first, and one of which nothing is known.
 func TestBoundOfPlainCallsIsLearned(t *testing.T) {
 	p, clock := newTestPlacer(t)
-	r := Request{Service: "plain", Objective: plainObjective, Call: new(message.Call)}
+	r := Request{Service: "plain", Objective: plainObjective, Call: new(message.RequestInfo)}
 	var runs []*Run
 	for range 3 * 64 * 4 {
 		d := p.Place(r)
@@ -301,7 +301,7 @@
 // say something of themselves before their routers answer: the call was refused with no_target,
 // although a third one was idle.
 func TestAskedTargetsThatLeaveMeanwhileAreNotAllThereAre(t *testing.T) {
-	for name, n := range map[string]notice.Notice{"backoff": {Backoff: time.Second}, "leaving": {Leaving: true}} {
+	for name, n := range map[string]notice.Notice{"backoff": {Backoff: time.Second}, "leaving": {Draining: true}} {
 		t.Run(name, func(t *testing.T) {
 			p, _ := newTestPlacer(t)
 			r := ask(call("some", 1000, 10), "c")
--- a/quarantine/tell.go
+++ b/quarantine/gossip.go
@@ -6,9 +6,9 @@
 	zinccovev1 "zinccove.example/zinccove/gen/zinccove/v1"
 )
 
-// Tell returns the datagram that goes to other routers with the next heartbeat, nil if there
+// NextHeartbeat returns the datagram that goes to other routers with the next heartbeat, nil if there
 // is nothing to tell.
-func (l *List) Tell() *zinccovev1.Heartbeat {
+func (l *List) NextHeartbeat() *zinccovev1.Heartbeat {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	told := l.tell()
@@ -53,9 +53,9 @@
 	return m
 }
 
-// Learn takes what another router told, and returns the requests that are barred by it.
+// Merge takes what another router told, and returns the requests that are barred by it.
 // What is not a fingerprint is passed over.
-func (l *List) Learn(told []*zinccovev1.Suspect) []Fingerprint {
+func (l *List) Merge(told []*zinccovev1.Suspect) []Fingerprint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
@@ -91,7 +91,7 @@
 	}
 	losses := make([]Loss, 0, mostLosses)
 	for i, t := range m.Targets[:min(len(m.Targets), mostLosses)] {
-		losses = append(losses, Loss{Target: Target(t), Partial: i < len(m.Partial) && m.Partial[i]})
+		losses = append(losses, Loss{Target: IncarnationHash(t), Partial: i < len(m.Partial) && m.Partial[i]})
 	}
 	return l.blame(f, losses, now.Add(-age))
 }
--- a/quarantine/keeper.go
+++ b/quarantine/persister.go
@@ -15,14 +15,14 @@
 	"zinccove.example/zinccove/platform"
 )
 
-// Keeper keeps barred requests in the platform's table, so that they stay barred when all
+// Persister keeps barred requests in the platform's table, so that they stay barred when all
 // routers lose what they know at once. The router whose loss barred a request writes it;
 // every router reads them once, when it starts.
 //
 // A row is named by the first byte of a fingerprint: there are never more than 256, and
 // none needs to be removed. A newer request replaces one with the same byte, which the
 // routers that run still know.
-type Keeper struct {
+type Persister struct {
 	List    *List
 	Table   platform.Table
 	Clock   clockwork.Clock
@@ -46,7 +46,7 @@
 )
 
 // Run reads what is barred, and writes what this router barred until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Persister) Run(ctx context.Context) error {
 	if !k.try(ctx, k.load) {
 		return nil
 	}
@@ -63,7 +63,7 @@
 }
 
 // try makes a call until it succeeds. It reports false if ctx ended before.
-func (k *Keeper) try(ctx context.Context, call func(context.Context) error) bool {
+func (k *Persister) try(ctx context.Context, call func(context.Context) error) bool {
 	for {
 		err := call(ctx)
 		if err == nil {
@@ -83,7 +83,7 @@
 }
 
 // load reads all rows. What cannot be decoded is passed over.
-func (k *Keeper) load(ctx context.Context) error {
+func (k *Persister) load(ctx context.Context) error {
 	rows, err := k.Table.List(ctx, rowPrefix, mostRows, false)
 	if err != nil {
 		return errs.Wrap(err, "read barred requests", "")
@@ -96,7 +96,7 @@
 			told = append(told, r.suspect(now))
 		}
 	}
-	for _, f := range k.List.Learn(told) {
+	for _, f := range k.List.Merge(told) {
 		k.Log.Warn().Stringer("fingerprint", f).Msg("request barred, as the store says")
 	}
 	return nil
@@ -113,7 +113,7 @@
 }
 
 // save writes the row of a request.
-func (k *Keeper) save(ctx context.Context, s suspect) error {
+func (k *Persister) save(ctx context.Context, s suspect) error {
 	value, err := json.Marshal(record{Fingerprint: s.fingerprint.String(), Losses: s.losses, LostUnixMs: s.changed.UnixMilli()})
 	if err != nil {
 		return errs.Wrap(err, "encode barred request", "")
--- a/quarantine/keeper_test.go
+++ b/quarantine/persister_test.go
@@ -30,12 +30,12 @@
 	return stop
 }
 
-func newKeeper(t *testing.T, l *List, table platform.Table, clock clockwork.Clock) *Keeper {
+func newKeeper(t *testing.T, l *List, table platform.Table, clock clockwork.Clock) *Persister {
 	t.Helper()
 	m, err := metric.New()
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.NilError(t, m.Close()) })
-	return &Keeper{List: l, Table: table, Clock: clock, Log: zerolog.Nop(), Metrics: m}
+	return &Persister{List: l, Table: table, Clock: clock, Log: zerolog.Nop(), Metrics: m}
 }
 
 func eventually(t *testing.T, what string, holds func() bool) {
@@ -62,8 +62,8 @@
 	}
 	before, c := New(clock), of("ends")
 	stop := run(t, before, m.Table(), clock)
-	for target := range Target(2) {
-		before.Lost(c, silent(target))
+	for target := range IncarnationHash(2) {
+		before.RecordLoss(c, silent(target))
 	}
 	eventually(t, "the request is written", func() bool { return m.Writes() == 1 })
 	stop()
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -17,20 +17,20 @@
 // was answered whole is no suspect, and losses do not count for some seconds after an
 // answer.
 //
-// A List has no input and output; a Keeper keeps what is barred in the platform's table.
+// A List has no input and output; a Persister keeps what is barred in the platform's table.
 //
 // # Usage
 //
 //	l := quarantine.New(clock)
 //	if l.Barred(content) { ... }      // before each attempt
-//	barred := l.Lost(content, loss)   // the connection broke
-//	l.Answered(content)               // the whole answer came
-//	heartbeat := l.Tell()             // for other routers, with each heartbeat
-//	barred := l.Learn(told)           // what another router told
+//	barred := l.RecordLoss(content, loss) // the connection broke
+//	l.RecordResponse(content)             // the whole answer came
+//	heartbeat := l.NextHeartbeat()           // for other routers, with each heartbeat
+//	barred := l.Merge(told)         // what another router told
 //	<-l.Changed()                     // a request was barred, tell others at once
 //
-//	k := quarantine.Keeper{List: l, Table: client.Table(), Clock: clock, Log: log, Metrics: m}
-//	err := k.Run(ctx)
+//	p := quarantine.Persister{List: l, Table: client.Table(), Clock: clock, Log: log, Metrics: m}
+//	err := p.Run(ctx)
 package quarantine
 
 import (
@@ -77,12 +77,12 @@
 	mostTold = 16
 )
 
-// Target names a run of a target.
-type Target uint32
+// IncarnationHash names a run of a target.
+type IncarnationHash uint32
 
 // Loss is a run of a target that ended under a request.
 type Loss struct {
-	Target Target
+	Target IncarnationHash
 	// Partial tells that the target had begun to answer.
 	Partial bool
 }
@@ -130,7 +130,7 @@
 	clock   clockwork.Clock
 	seed    maphash.Seed
 	changed chan struct{}
-	// unsaved are requests that this router barred, for the Keeper.
+	// unsaved are requests that this router barred, for the Persister.
 	unsaved chan suspect
 	// known is the number of suspects that are not answered.
 	known atomic.Int64
@@ -181,9 +181,9 @@
 	return true
 }
 
-// Lost notes that the connection to a target broke while the request may have run there.
+// RecordLoss notes that the connection to a target broke while the request may have run there.
 // It reports whether the request is barred from now on.
-func (l *List) Lost(c *Content, loss Loss) (barred bool) {
+func (l *List) RecordLoss(c *Content, loss Loss) (barred bool) {
 	f, local := c.Fingerprint(), c.local(l.seed)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -217,8 +217,8 @@
 	}
 }
 
-// KeepAgain has what was barred lately kept again, after the table may have lost it.
-func (l *List) KeepAgain() {
+// PersistAgain has what was barred lately kept again, after the table may have lost it.
+func (l *List) PersistAgain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.order {
@@ -280,9 +280,9 @@
 	l.order = slices.Delete(l.order, i, i+1)
 }
 
-// Answered notes that a target answered the request whole. Other routers are told if it
+// RecordResponse notes that a target answered the request whole. Other routers are told if it
 // was suspected.
-func (l *List) Answered(c *Content) {
+func (l *List) RecordResponse(c *Content) {
 	local := c.local(l.seed)
 	if l.any() {
 		c.Fingerprint()
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -13,17 +13,17 @@
 )
 
 // silent is the loss of a target that had not begun to answer.
-func silent(t Target) Loss { return Loss{Target: t} }
+func silent(t IncarnationHash) Loss { return Loss{Target: t} }
 
 func of(body string) *Content { return &Content{Customer: "c", Body: []byte(body)} }
 
 // exchange has each list tell all others, as one heartbeat of each does.
 func exchange(lists ...*List) {
 	for _, from := range lists {
-		told := from.Tell()
+		told := from.NextHeartbeat()
 		for _, to := range lists {
 			if to != from {
-				to.Learn(told.GetSuspects())
+				to.Merge(told.GetSuspects())
 			}
 		}
 	}
@@ -42,13 +42,13 @@
 	lists, _ := newLists(3)
 	f := of("ends")
 	assert.Assert(t, !lists[0].any())
-	assert.Assert(t, !lists[0].Lost(f, silent(1)))
+	assert.Assert(t, !lists[0].RecordLoss(f, silent(1)))
 	exchange(lists...)
 	for _, l := range lists {
 		assert.Assert(t, l.any() && !l.Barred(f))
 	}
-	assert.Assert(t, !lists[1].Lost(f, silent(1)), "the same run of a target counts once")
-	assert.Assert(t, lists[1].Lost(f, silent(2)))
+	assert.Assert(t, !lists[1].RecordLoss(f, silent(1)), "the same run of a target counts once")
+	assert.Assert(t, lists[1].RecordLoss(f, silent(2)))
 	<-lists[1].Changed()
 	exchange(lists...)
 	for _, l := range lists {
@@ -62,7 +62,7 @@
 	lists, clock := newLists(3)
 	for n := range 2 * repeatCount {
 		for loss := range 2 {
-			lists[0].Lost(of(fmt.Sprint(n)), silent(Target(loss)))
+			lists[0].RecordLoss(of(fmt.Sprint(n)), silent(IncarnationHash(loss)))
 		}
 	}
 	for range tellTimes {
@@ -80,9 +80,9 @@
 
 func TestNothingIsToldWhileNothingIsSuspected(t *testing.T) {
 	lists, _ := newLists(1)
-	lists[0].Answered(of("fine"))
+	lists[0].RecordResponse(of("fine"))
 	for range 2 * repeatEvery {
-		assert.Assert(t, lists[0].Tell() == nil)
+		assert.Assert(t, lists[0].NextHeartbeat() == nil)
 	}
 }
 
@@ -95,12 +95,12 @@
 	f := of("popular")
 	for range 3 {
 		for _, l := range lists[:3] {
-			l.Answered(f)
+			l.RecordResponse(f)
 		}
 		clock.Advance(3 * time.Second)
-		for target := range Target(3) {
+		for target := range IncarnationHash(3) {
 			for _, l := range lists {
-				l.Lost(f, silent(target))
+				l.RecordLoss(f, silent(target))
 			}
 		}
 		exchange(lists...)
@@ -115,30 +115,30 @@
 func TestAnswerEndsASuspicionEverywhere(t *testing.T) {
 	lists, clock := newLists(3)
 	f := of("unlucky")
-	lists[0].Lost(f, silent(1))
+	lists[0].RecordLoss(f, silent(1))
 	exchange(lists...)
-	lists[2].Answered(f)
+	lists[2].RecordResponse(f)
 	exchange(lists...)
 	for _, l := range lists {
 		assert.Assert(t, !l.any())
 	}
 	clock.Advance(2 * answeredFor)
-	assert.Assert(t, !lists[1].Lost(f, silent(2)), "losses before the answer are forgotten")
+	assert.Assert(t, !lists[1].RecordLoss(f, silent(2)), "losses before the answer are forgotten")
 }
 
 func TestWhatIsToldLateDoesNotAgeAnew(t *testing.T) {
 	lists, clock := newLists(2)
 	f := of("ends")
-	for target := range Target(2) {
-		lists[0].Lost(f, silent(target))
+	for target := range IncarnationHash(2) {
+		lists[0].RecordLoss(f, silent(target))
 	}
 	clock.Advance(keepFor - time.Second)
-	lists[1].Learn(lists[0].Tell().GetSuspects())
+	lists[1].Merge(lists[0].NextHeartbeat().GetSuspects())
 	assert.Assert(t, lists[1].Barred(f))
 	clock.Advance(time.Second)
 	for _, l := range lists {
 		assert.Assert(t, !l.Barred(f))
-		l.Tell()
+		l.NextHeartbeat()
 		assert.Assert(t, !l.any())
 	}
 }
@@ -147,18 +147,18 @@
 func TestCallerWithManySuspectsPushesOutNothingBarred(t *testing.T) {
 	lists, _ := newLists(1)
 	l, f := lists[0], of("ends")
-	for target := range Target(2) {
-		l.Lost(f, silent(target))
+	for target := range IncarnationHash(2) {
+		l.RecordLoss(f, silent(target))
 	}
 	for n := range 2 * mostSuspects {
-		l.Lost(of(fmt.Sprint(n)), silent(1))
+		l.RecordLoss(of(fmt.Sprint(n)), silent(1))
 	}
 	assert.Assert(t, l.Barred(f))
 	suspected, barred := l.Counts()
 	assert.Equal(t, suspected, mostSuspects)
 	assert.Equal(t, barred, 1)
 	for n := range mostAnswered * 2 {
-		l.Answered(of(fmt.Sprint("answer", n)))
+		l.RecordResponse(of(fmt.Sprint("answer", n)))
 	}
 	assert.Assert(t, len(l.answers) <= mostAnswered)
 }
@@ -172,12 +172,12 @@
 	for i := range many {
 		many[i] = uint32(i)
 	}
-	l.Learn([]*zinccovev1.Suspect{
+	l.Merge([]*zinccovev1.Suspect{
 		{}, {Fingerprint: []byte("short")}, {Fingerprint: make([]byte, 100), Targets: many},
 		{Fingerprint: f[:], Targets: many[:1], AgeMs: 1 << 63},
 	})
 	assert.Assert(t, !l.any())
-	l.Learn([]*zinccovev1.Suspect{{Fingerprint: f[:], Targets: many}})
+	l.Merge([]*zinccovev1.Suspect{{Fingerprint: f[:], Targets: many}})
 	assert.Assert(t, l.Barred(c))
 	assert.Equal(t, len(l.suspects[f].losses), mostLosses)
 }
@@ -199,16 +199,16 @@
 			if third >= 0 && beat > third+2 {
 				late++
 			}
-			l.Lost(f, silent(Target(all)))
+			l.RecordLoss(f, silent(IncarnationHash(all)))
 		}
 		if all >= 3 && third < 0 {
 			third = beat
 		}
 		for _, from := range lists {
-			told := from.Tell()
+			told := from.NextHeartbeat()
 			for _, to := range lists {
 				if to != from && random.Float64() > 0.3 {
-					to.Learn(told.GetSuspects())
+					to.Merge(told.GetSuspects())
 				}
 			}
 		}
@@ -233,7 +233,7 @@
 func BenchmarkBarred(b *testing.B) {
 	l := New(clockwork.NewRealClock())
 	for n := range 100 {
-		l.Lost(of(fmt.Sprint(n)), silent(1))
+		l.RecordLoss(of(fmt.Sprint(n)), silent(1))
 	}
 	f := of("5")
 	for b.Loop() {
@@ -246,7 +246,7 @@
 	l := New(clockwork.NewRealClock())
 	c := &Content{Customer: "customer", URI: []byte("/drafts/1/2"), Body: make([]byte, 17_000)}
 	for b.Loop() {
-		l.Answered(c)
+		l.RecordResponse(c)
 	}
 }
 
@@ -255,14 +255,14 @@
 func TestTargetsThatHadBegunToAnswerSpeakLess(t *testing.T) {
 	lists, _ := newLists(2)
 	stream := of("stream")
-	for target := range Target(3) {
-		assert.Assert(t, !lists[0].Lost(stream, Loss{Target: target, Partial: true}))
+	for target := range IncarnationHash(3) {
+		assert.Assert(t, !lists[0].RecordLoss(stream, Loss{Target: target, Partial: true}))
 	}
 	exchange(lists...)
 	assert.Assert(t, !lists[1].Barred(stream))
-	assert.Assert(t, lists[1].Lost(stream, Loss{Target: 3, Partial: true}), "the fourth one")
+	assert.Assert(t, lists[1].RecordLoss(stream, Loss{Target: 3, Partial: true}), "the fourth one")
 	mixed := of("mixed")
-	assert.Assert(t, !lists[0].Lost(mixed, Loss{Target: 1, Partial: true}))
-	assert.Assert(t, !lists[0].Lost(mixed, silent(1)), "the heavier word on one run counts")
-	assert.Assert(t, lists[0].Lost(mixed, silent(2)))
+	assert.Assert(t, !lists[0].RecordLoss(mixed, Loss{Target: 1, Partial: true}))
+	assert.Assert(t, !lists[0].RecordLoss(mixed, silent(1)), "the heavier word on one run counts")
+	assert.Assert(t, lists[0].RecordLoss(mixed, silent(2)))
 }
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -89,10 +89,10 @@
 // has not noticed, and when most routers of a data centre stop at once.
 func (s *Server) endsInTime(f *flight) bool {
 	stopped := s.stopped.Load()
-	if stopped == nil || f.received.Sub(*stopped) < s.options.Limits.Announce {
+	if stopped == nil || f.received.Sub(*stopped) < s.options.Limits.StopDelay {
 		return true
 	}
-	left := s.options.Limits.Stop - f.received.Sub(*stopped)
+	left := s.options.Limits.StopTimeout - f.received.Sub(*stopped)
 	if f.route.Kind != route.Stream {
 		return f.limit() < left
 	}
@@ -111,7 +111,7 @@
 // admit finds out what a request is. The refusal is nil if it may be served.
 func (s *Server) admit(ctx *fasthttp.RequestCtx) (*flight, *refusal) {
 	f := &flight{server: s, received: s.options.Clock.Now(), conn: ctx.Conn(), header: &ctx.Request.Header}
-	call, err := s.options.Codec.Call(&ctx.Request.Header)
+	call, err := s.options.Codec.DecodeRequest(&ctx.Request.Header)
 	f.call = call
 	if err != nil {
 		return f, &refusal{status: fasthttp.StatusBadRequest, reason: reasonBadRequest}
--- a/relay/answer.go
+++ b/relay/answer.go
@@ -30,5 +30,5 @@
 func (f *flight) head(ctx *fasthttp.RequestCtx, ans *answer) {
 	ctx.Response.Header.SetNoDefaultContentType(true)
 	ctx.SetStatusCode(ans.header.StatusCode())
-	f.server.options.Codec.CopyAnswer(&ctx.Response.Header, &ans.header)
+	f.server.options.Codec.CopyResponse(&ctx.Response.Header, &ans.header)
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -21,7 +21,7 @@
 // answer is a target's answer. Exactly one of body and stream is set.
 type answer struct {
 	header fasthttp.ResponseHeader
-	facts  message.Answer
+	facts  message.ResponseInfo
 	body   []byte
 	stream *stream
 }
@@ -68,9 +68,9 @@
 	}
 	s := f.server
 	var answers []place.Answer
-	if s.options.Ask != nil && !s.troubled() {
+	if s.options.Query != nil && !s.troubled() {
 		began := s.options.Clock.Now()
-		answers = s.options.Ask(s.options.Placer.Questions(r))
+		answers = s.options.Query(s.options.Placer.Questions(r))
 		f.asked = s.options.Clock.Since(began)
 	}
 	f.decision = s.options.Placer.Place(r, answers...)
@@ -167,7 +167,7 @@
 	b = append(b, h.RequestURI()...)
 	b = append(b, " HTTP/1.1\r\n"...)
 	b = f.server.options.Codec.AppendRequest(b, h, message.Forward{
-		Target: f.run.Target.ID, Customer: f.customer, Left: f.left(), LastEvent: lastEvent, HideKey: f.hideKey,
+		Target: f.run.Target.ID, Customer: f.customer, Remaining: f.left(), LastEventID: lastEvent, HideKey: f.hideKey,
 		CopyFrom: f.decision.CopyFrom,
 	})
 	if len(body) > 0 || h.ContentLength() >= 0 && !h.IsGet() && !h.IsHead() {
@@ -263,7 +263,7 @@
 		if ans.header.StatusCode() < fasthttp.StatusOK {
 			continue
 		}
-		ans.facts = f.server.options.Codec.Answer(&ans.header)
+		ans.facts = f.server.options.Codec.DecodeResponse(&ans.header)
 		f.takeNotice(c, ans)
 		if ans.facts.ID == f.call.ID {
 			return nil
@@ -295,5 +295,5 @@
 		c.Close() //nolint:errcheck // the answer is whole
 		return
 	}
-	f.server.options.Links.Put(c, ans.facts.Idle)
+	f.server.options.Links.Put(c, ans.facts.IdleTimeout)
 }
--- a/relay/connect.go
+++ b/relay/connect.go
@@ -28,13 +28,13 @@
 // left for connecting, so that another one can be tried.
 func (f *flight) connectTime() time.Duration {
 	if f.firstEvent > 0 {
-		return link.LongestDial // the caller has a part of the answer already
+		return link.MaxDialTimeout // the caller has a part of the answer already
 	}
 	left := f.connectLeft()
 	if f.server.connects.typical() > slowConnect {
-		return min(max(left, leastConnect), link.LongestDial)
+		return min(max(left, leastConnect), link.MaxDialTimeout)
 	}
-	return min(max(left/2, leastConnect), max(left, leastConnect), link.LongestDial)
+	return min(max(left/2, leastConnect), max(left, leastConnect), link.MaxDialTimeout)
 }
 
 // connectLeft is what is left of the time for connecting.
@@ -63,9 +63,9 @@
 // dial takes or opens a connection.
 func (f *flight) dial() (*link.Conn, error) {
 	s, incarnation := f.server, f.run.Incarnation()
-	freshness := link.Recent
+	freshness := link.ShortIdle
 	if f.route.Repeats() {
-		freshness = link.Rested
+		freshness = link.LongIdle
 	}
 	timeout := f.connectTime()
 	began := s.options.Clock.Now()
--- a/relay/fake_test.go
+++ b/relay/fake_test.go
@@ -246,7 +246,7 @@
 	s.Server, err = Listen(Options{
 		Address: netip.MustParseAddrPort("127.0.0.1:0"), Clock: clock, Log: zerolog.Nop(), Metrics: metrics, Codec: platform.Codec,
 		View: s.view, Placer: placer, Links: links, Retries: request.NewBudget(1, 100), Quarantine: quarantine.New(clock),
-		Limits: Limits{BodyBytes: 1 << 20, HeaderBytes: 16 << 10, Connections: 100, Write: stallTime, Quiet: 10 * time.Millisecond, Stop: time.Second},
+		Limits: Limits{BodyBytes: 1 << 20, HeaderBytes: 16 << 10, Connections: 100, WriteTimeout: stallTime, QuietPeriod: 10 * time.Millisecond, StopTimeout: time.Second},
 	})
 	assert.NilError(t, err)
 	t.Cleanup(func() {
--- a/relay/flight.go
+++ b/relay/flight.go
@@ -40,7 +40,7 @@
 	server   *Server
 	conn     net.Conn
 	received time.Time
-	call     message.Call
+	call     message.RequestInfo
 	// version is that of the table that the request was admitted with.
 	version uint64
 	route   *route.Route
--- a/relay/log.go
+++ b/relay/log.go
@@ -34,7 +34,7 @@
 
 // noticed adds what the target said of itself in its answer, if it did.
 func (f *flight) noticed(e *zerolog.Event) *zerolog.Event {
-	if f.said.Leaving {
+	if f.said.Draining {
 		e = e.Bool("target_leaves", true)
 	}
 	if f.said.Backoff > 0 {
--- a/relay/look.go
+++ b/relay/look.go
@@ -28,7 +28,7 @@
 		s.options.Metrics.Observe(metric.ProcessLag, s.lag.looked())
 		refused := s.throttle.look(s.excess(), s.options.Clock.Now())
 		if s.strain.note(refused) {
-			s.options.Log.Warn().Bool("strained", s.Strained()).Dur("lag_ms", s.lag.current()).Dur("connects_ms", s.connects.typical()).
+			s.options.Log.Warn().Bool("strained", s.Overloaded()).Dur("lag_ms", s.lag.current()).Dur("connects_ms", s.connects.typical()).
 				Msg("new callers wanted elsewhere")
 		}
 		s.lookOnce()
@@ -47,7 +47,7 @@
 			}
 		}
 		switch {
-		case f.untaken.lasts(s.options.Limits.Write, now):
+		case f.untaken.lasts(s.options.Limits.WriteTimeout, now):
 			f.cutStalled() // also after its time was up, which ends only the target's part
 		case !now.Before(limit):
 			f.interrupt(timeUp)
--- a/relay/notice.go
+++ b/relay/notice.go
@@ -21,7 +21,7 @@
 	}
 	f.said = ans.facts.Notice
 	news := f.run.Notice(f.said)
-	if news.Leaving {
+	if news.Draining {
 		f.server.options.Metrics.Inc(metric.NoticesLeaving)
 		f.server.logNotice(f, ans).Msg("target says that it leaves")
 	}
--- a/relay/pace.go
+++ b/relay/pace.go
@@ -28,7 +28,7 @@
 )
 
 // learn takes the time of a whole stream after its first event.
-func (p *pace) learn(c *message.Call, took time.Duration) {
+func (p *pace) learn(c *message.RequestInfo, took time.Duration) {
 	if c.MaxTokens <= 0 {
 		return
 	}
@@ -40,7 +40,7 @@
 
 // bound returns the longest time that a stream is expected to last after its
 // first event, and false if its caller did not bound the tokens.
-func (p *pace) bound(c *message.Call) (time.Duration, bool) {
+func (p *pace) bound(c *message.RequestInfo) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	per := max(p.perToken, leastPace)
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -72,17 +72,17 @@
 	View    func() View
 	Placer  *place.Placer
 	Links   *link.Pool
-	// Ask asks the routers that answer for targets; it waits some milliseconds at most.
+	// Query asks the routers that answer for targets; it waits some milliseconds at most.
 	// Nil asks none.
-	Ask     func([]place.Question) []place.Answer
+	Query   func([]place.Question) []place.Answer
 	Retries *request.Budget
 	// Quarantine knows the requests that end their targets.
 	Quarantine *quarantine.List
-	// Rollouts are the services that move to new versions; nil are none. Judged is called
+	// Rollouts are the services that move to new versions; nil are none. OnVersionFailure is called
 	// when an answer spoke against a new version.
-	Rollouts *rollout.Set
-	Judged   func()
-	Limits   Limits
+	Rollouts         *rollout.Set
+	OnVersionFailure func()
+	Limits           Limits
 }
 
 // Limits bound what callers can take.
@@ -92,16 +92,16 @@
 	Connections int
 	// Memory is that of the process in bytes; 0 leaves it open.
 	Memory int64
-	// Write is how long a caller may take no bytes of its answer; 0 leaves it open.
-	Write time.Duration
-	// Announce is how long a planned stop goes on accepting all requests, until
+	// WriteTimeout is how long a caller may take no bytes of its answer; 0 leaves it open.
+	WriteTimeout time.Duration
+	// StopDelay is how long a planned stop goes on accepting all requests, until
 	// the balancer has noticed. Later ones are refused if they may not end in time.
-	Announce time.Duration
-	// Quiet is the time without a new request after which a planned stop expects
+	StopDelay time.Duration
+	// QuietPeriod is the time without a new request after which a planned stop expects
 	// no more.
-	Quiet time.Duration
-	// Stop is the longest time of a planned stop.
-	Stop time.Duration
+	QuietPeriod time.Duration
+	// StopTimeout is the longest time of a planned stop.
+	StopTimeout time.Duration
 }
 
 // Server serves callers until Close. It is safe for concurrent use.
@@ -266,11 +266,11 @@
 	for {
 		clock.Sleep(drainPeriod)
 		now := clock.Now()
-		if now.Sub(began) >= s.options.Limits.Stop {
+		if now.Sub(began) >= s.options.Limits.StopTimeout {
 			s.options.Log.Warn().Int("running", s.Running()).Msg("stop limit reached, cutting the requests that still run")
 			return
 		}
-		if now.Sub(began) >= s.options.Limits.Announce+s.options.Limits.Quiet && s.resting(now) {
+		if now.Sub(began) >= s.options.Limits.StopDelay+s.options.Limits.QuietPeriod && s.resting(now) {
 			return
 		}
 	}
@@ -280,5 +280,5 @@
 func (s *Server) resting(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.flights) == 0 && now.Sub(s.last) >= s.options.Limits.Quiet
+	return len(s.flights) == 0 && now.Sub(s.last) >= s.options.Limits.QuietPeriod
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -412,24 +412,24 @@
 }
 
 func TestStopAcceptsWhatEndsInTime(t *testing.T) {
-	s := &Server{options: Options{Limits: Limits{Announce: 2 * time.Second, Stop: 7 * time.Second}}}
+	s := &Server{options: Options{Limits: Limits{StopDelay: 2 * time.Second, StopTimeout: 7 * time.Second}}}
 	began := time.Now()
 	flight := func(after time.Duration, kind route.Kind, tokens int) *flight {
 		return &flight{
 			server: s, received: began.Add(after), route: &route.Route{Kind: kind, Timeout: 12 * time.Second},
-			call: message.Call{Deadline: 10 * time.Second, MaxTokens: tokens},
+			call: message.RequestInfo{Deadline: 10 * time.Second, MaxTokens: tokens},
 		}
 	}
 	assert.Assert(t, s.endsInTime(flight(0, route.Stream, 5000)), "no stop")
 	s.stopped.Store(&began)
-	s.pace.learn(&message.Call{MaxTokens: 100}, 100*time.Millisecond)
+	s.pace.learn(&message.RequestInfo{MaxTokens: 100}, 100*time.Millisecond)
 	assert.Assert(t, s.endsInTime(flight(time.Second, route.Stream, 5000)), "the balancer has not noticed")
 	assert.Assert(t, s.endsInTime(flight(3*time.Second, route.Stream, 70)))
 	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Stream, 90)))
 	assert.Assert(t, !s.endsInTime(flight(5*time.Second, route.Stream, 70)))
 	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Stream, 0)), "no bound is known")
 	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Once, 0)))
-	s.pace.learn(&message.Call{MaxTokens: 100}, 5*time.Second)
+	s.pace.learn(&message.RequestInfo{MaxTokens: 100}, 5*time.Second)
 	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Stream, 70)), "streams are slower than that")
 	short := flight(3*time.Second, route.Once, 0)
 	short.call.Deadline = time.Second
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -9,7 +9,7 @@
 )
 
 // A caller that takes no bytes holds a connection, a target's slot and what was read for it.
-// Nothing more is read for it meanwhile, and after Limits.Write it is cut off, so that callers
+// Nothing more is read for it meanwhile, and after Limits.WriteTimeout it is cut off, so that callers
 // that do not read cannot take all connections of a host for good.
 
 // untaken is since when something that was handed over waits to be taken.
@@ -35,7 +35,7 @@
 
 // boundWrite bounds the time for which a caller may take an answer that is kept whole.
 func (f *flight) boundWrite() {
-	limit := f.server.options.Limits.Write
+	limit := f.server.options.Limits.WriteTimeout
 	if limit <= 0 {
 		return
 	}
@@ -47,7 +47,7 @@
 
 // unboundWrite lifts the bound that an earlier answer on the connection left.
 func (f *flight) unboundWrite() {
-	if f.server.options.Limits.Write <= 0 {
+	if f.server.options.Limits.WriteTimeout <= 0 {
 		return
 	}
 	if err := f.conn.SetWriteDeadline(time.Time{}); err != nil {
--- a/relay/strain.go
+++ b/relay/strain.go
@@ -47,5 +47,5 @@
 	return now.Sub(s.calm) >= calmFor && s.out.CompareAndSwap(true, false)
 }
 
-// Strained reports whether new callers had better go to other routers.
-func (s *Server) Strained() bool { return s.strain.out.Load() }
+// Overloaded reports whether new callers had better go to other routers.
+func (s *Server) Overloaded() bool { return s.strain.out.Load() }
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -23,8 +23,8 @@
 	if !fail.Dropped() || f.interrupted() != running {
 		return
 	}
-	loss := quarantine.Loss{Target: quarantine.Target(place.HashOf(f.run.Incarnation())), Partial: partial}
-	if f.server.options.Quarantine.Lost(f.asks(), loss) {
+	loss := quarantine.Loss{Target: quarantine.IncarnationHash(place.HashOf(f.run.Incarnation())), Partial: partial}
+	if f.server.options.Quarantine.RecordLoss(f.asks(), loss) {
 		f.server.event(f.server.options.Log.Warn(), f).Stringer("fingerprint", f.asks().Fingerprint()).
 			Str("target", f.run.Target.ID).Msg("request barred, targets ended under it")
 	}
@@ -34,6 +34,6 @@
 // connection does not show that: the target may have ended.
 func (f *flight) clear(b *body) {
 	if b.framed() {
-		f.server.options.Quarantine.Answered(f.asks())
+		f.server.options.Quarantine.RecordResponse(f.asks())
 	}
 }
--- a/relay/version.go
+++ b/relay/version.go
@@ -31,7 +31,7 @@
 func (f *flight) judge(a rollout.Answer) {
 	o := &f.server.options
 	if o.Rollouts != nil && o.Rollouts.Note(f.service, f.route.Name, f.run.Target.Version, a) {
-		o.Judged()
+		o.OnVersionFailure()
 	}
 }
 
--- a/target/target.go
+++ b/target/target.go
@@ -204,7 +204,7 @@
 		return c.fail(Broken, 0, err, step)
 	}
 	if a.Notice != nil {
-		a.Notice(notice.Notice{Leaving: string(resp.Header.Peek(HeaderLeaving)) == "1", Backoff: notice.Backoff(&resp.Header)})
+		a.Notice(notice.Notice{Draining: string(resp.Header.Peek(HeaderLeaving)) == "1", Backoff: notice.Backoff(&resp.Header)})
 	}
 	status := resp.StatusCode()
 	if status == fasthttp.StatusTooManyRequests || status == fasthttp.StatusServiceUnavailable {
