--- a/claim/again.go
+++ b/claim/again.go
@@ -52,7 +52,7 @@
 	defer l.mu.Unlock()
 	kept := l.recent[:0]
 	for _, r := range l.recent {
-		if r.held != h && now.Sub(r.at) < revision.CopyAge {
+		if r.held != h && now.Sub(r.at) < revision.MaxBackupAge {
 			kept = append(kept, r)
 		}
 	}
--- a/contact/contact.go
+++ b/contact/contact.go
@@ -11,10 +11,10 @@
 //	transport, err := peer.Listen(peer.Options{Receive: c.Receive, ...})
 //	select {
 //	case r := <-c.Heartbeats():
-//		host, news := c.Hear(r)
+//		host, outcome := c.HandleHeartbeat(r)
 //	case <-tick:
 //		gone, forgotten := c.Expire(time.Minute)
-//		hb := c.Header(version, stopping)
+//		hb := c.NewHeartbeat(version, stopping)
 //		hb.Host = c.Identity()
 //		c.Send(hb, addresses...)
 //	}
@@ -45,8 +45,8 @@
 	Log        zerolog.Logger
 	Metrics    *metric.Metrics
 	Quarantine *quarantine.List
-	// Silence is the time after which a router that is not heard is not reachable.
-	Silence time.Duration
+	// FailureTimeout is the time after which a router that is not heard is not reachable.
+	FailureTimeout time.Duration
 	// Send sends a datagram to addresses. It returns its size on the wire and to how many
 	// it left; see peer.Transport.
 	Send func(hb *zinccovev1.Heartbeat, to ...netip.AddrPort) (size, sent int, err error)
@@ -65,7 +65,7 @@
 	Size      int
 }
 
-// Contact is this router's part in the exchange of all routers. Receive, Send, TellSuspects
+// Contact is this router's part in the exchange of all routers. Receive, Send, SendSuspects
 // and Statuses are safe for concurrent use, the rest belongs to the control loop.
 type Contact struct {
 	options Options
@@ -85,7 +85,7 @@
 func New(o Options) *Contact {
 	return &Contact{
 		options:     o,
-		Members:     member.New(member.Options{Self: o.Host, Clock: o.Clock, Timeout: o.Silence}),
+		Members:     member.New(member.Options{Self: o.Host, Clock: o.Clock, Timeout: o.FailureTimeout}),
 		Started:     o.Clock.Now(),
 		heartbeats:  make(chan Received, inbox),
 		Incarnation: rand.Uint64(),
@@ -116,12 +116,12 @@
 // Heartbeats delivers what Receive took.
 func (c *Contact) Heartbeats() <-chan Received { return c.heartbeats }
 
-// Hear takes a heartbeat of another router; see member.Table.
-func (c *Contact) Hear(r Received) (*member.Host, member.News) {
+// HandleHeartbeat takes a heartbeat of another router; see member.Table.
+func (c *Contact) HandleHeartbeat(r Received) (*member.Host, member.Outcome) {
 	m := c.options.Metrics
 	m.Inc(metric.HeartbeatsReceived)
 	m.Add(metric.ControlBytesReceived, r.Size)
-	host, news := c.Members.Hear(r.Heartbeat)
+	host, news := c.Members.RecordHeartbeat(r.Heartbeat)
 	switch news {
 	case member.Ignored:
 		m.Inc(metric.HeartbeatsIgnored)
@@ -138,7 +138,7 @@
 	gone = c.Members.Expire()
 	for _, h := range gone {
 		c.options.Metrics.Inc(metric.HostsLost)
-		c.options.Log.Warn().Str("peer", h.Name).Dur("silent_ms", now.Sub(h.Heard)).Msg("router not reachable")
+		c.options.Log.Warn().Str("peer", h.Name).Dur("silent_ms", now.Sub(h.LastSeen)).Msg("router not reachable")
 	}
 	return gone, c.Members.Forget(now.Add(-forgetAfter))
 }
@@ -152,8 +152,8 @@
 	return d
 }
 
-// Header begins the next heartbeat.
-func (c *Contact) Header(version uint64, leaving bool) *zinccovev1.Heartbeat {
+// NewHeartbeat begins the next heartbeat.
+func (c *Contact) NewHeartbeat(version uint64, leaving bool) *zinccovev1.Heartbeat {
 	c.sequence++
 	return &zinccovev1.Heartbeat{Incarnation: c.Incarnation, Sequence: c.sequence, ConfigVersion: version, Leaving: leaving}
 }
@@ -178,9 +178,9 @@
 	return sent, size * sent
 }
 
-// TellSuspects tells other routers of requests under which targets ended, if there is
+// SendSuspects tells other routers of requests under which targets ended, if there is
 // anything to tell, and returns its cost in bytes.
-func (c *Contact) TellSuspects(to ...netip.AddrPort) (cost int) {
+func (c *Contact) SendSuspects(to ...netip.AddrPort) (cost int) {
 	if hb := c.options.Quarantine.Tell(); hb != nil {
 		_, cost = c.Send(hb, to...)
 	}
@@ -216,8 +216,8 @@
 	return nil
 }
 
-// Alone reports whether no other router is reachable, as of the last status.
-func (c *Contact) Alone() bool {
+// Isolated reports whether no other router is reachable, as of the last status.
+func (c *Contact) Isolated() bool {
 	for _, r := range c.Statuses() {
 		if r.Reachable && r.Host != c.options.Host {
 			return false
--- a/contact/contact_test.go
+++ b/contact/contact_test.go
@@ -36,7 +36,7 @@
 	addr := addressOf(i)
 	c := New(Options{
 		Host: string(rune('a' + i)), DataCentre: "dc", Clock: n.clock, Log: zerolog.Nop(), Metrics: m,
-		Quarantine: quarantine.New(n.clock), Silence: silence,
+		Quarantine: quarantine.New(n.clock), FailureTimeout: silence,
 		Send: func(hb *zinccovev1.Heartbeat, to ...netip.AddrPort) (size, sent int, err error) {
 			for _, a := range to {
 				if n.cut || n.members[a] == nil {
@@ -59,7 +59,7 @@
 }
 
 func (c *Contact) beat(to netip.AddrPort) (sent, cost int) {
-	hb := c.Header(7, false)
+	hb := c.NewHeartbeat(7, false)
 	hb.Host = c.Identity()
 	return c.Send(hb, to)
 }
@@ -68,16 +68,16 @@
 	n := newNetwork()
 	a, b := n.add(t, 0), n.add(t, 1)
 	assert.Equal(t, a.Publish(new(zinccovev1.RouterStatus)), 0)
-	assert.Assert(t, a.Alone())
+	assert.Assert(t, a.Isolated())
 	sent, cost := b.beat(addressOf(0))
 	assert.Equal(t, sent, 1)
 	assert.Equal(t, cost, 100)
-	host, news := a.Hear(<-a.Heartbeats())
+	host, news := a.HandleHeartbeat(<-a.Heartbeats())
 	assert.Equal(t, news, member.Restarted)
 	assert.Equal(t, host.Name, "b")
 	assert.Equal(t, host.ConfigVersion, uint64(7))
 	assert.Equal(t, a.Publish(&zinccovev1.RouterStatus{ConfigVersion: 5}), 1)
-	assert.Assert(t, !a.Alone())
+	assert.Assert(t, !a.Isolated())
 	assert.Equal(t, a.Statuses()[0].Host, "a")
 	assert.Equal(t, a.Statuses()[0].ConfigVersion, uint64(5))
 	assert.Equal(t, a.Statuses()[1].Host, "b")
@@ -96,7 +96,7 @@
 	assert.Equal(t, a.Publish(new(zinccovev1.RouterStatus)), 0)
 	n.cut = false
 	b.beat(addressOf(0))
-	_, news = a.Hear(<-a.Heartbeats())
+	_, news = a.HandleHeartbeat(<-a.Heartbeats())
 	assert.Equal(t, news, member.Current)
 	assert.Equal(t, a.Publish(new(zinccovev1.RouterStatus)), 1)
 }
@@ -105,7 +105,7 @@
 	n := newNetwork()
 	a, b := n.add(t, 0), n.add(t, 1)
 	b.beat(addressOf(0))
-	a.Hear(<-a.Heartbeats())
+	a.HandleHeartbeat(<-a.Heartbeats())
 	var forgotten []*member.Host
 	for range 130 {
 		n.clock.Advance(silence / 4)
@@ -120,12 +120,12 @@
 func TestSuspectsAreToldBesideHeartbeats(t *testing.T) {
 	n := newNetwork()
 	a, b := n.add(t, 0), n.add(t, 1)
-	assert.Equal(t, b.TellSuspects(addressOf(0)), 0, "nothing to tell")
+	assert.Equal(t, b.SendSuspects(addressOf(0)), 0, "nothing to tell")
 	content := &quarantine.Content{Customer: "c", Body: []byte("x")}
 	for i := range 2 {
 		b.options.Quarantine.Lost(content, quarantine.Loss{Target: quarantine.Target(i + 1)})
 	}
-	assert.Equal(t, b.TellSuspects(addressOf(0)), 100)
+	assert.Equal(t, b.SendSuspects(addressOf(0)), 100)
 	assert.Assert(t, a.options.Quarantine.Barred(content))
 	assert.Equal(t, len(a.Heartbeats()), 0)
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -267,7 +267,7 @@
 	for {
 		err := d.syncer.Poll(ctx)
 		d.claims.Renew()
-		if err == nil && (d.loop.contact.Alone() || d.clock.Since(hostsRead) >= hostListPeriod) {
+		if err == nil && (d.loop.contact.Isolated() || d.clock.Since(hostsRead) >= hostListPeriod) {
 			var hosts []platform.Host
 			if hosts, err = d.platform.Hosts(ctx); err == nil {
 				hostsRead = d.clock.Now()
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -49,7 +49,7 @@
 	tasks   chan func(*loop)
 	contact *contact.Contact
 
-	book        *exchange.Book
+	book        *exchange.Table
 	lastBeat    time.Time
 	nextBalance time.Time
 	// credit is what heartbeats may cost now, in bytes.
@@ -71,7 +71,7 @@
 		tasks:  make(chan func(*loop), inbox),
 		contact: contact.New(contact.Options{
 			Host: d.settings.Host, DataCentre: d.settings.DataCentre, Clock: d.clock, Log: d.log, Metrics: d.metrics,
-			Quarantine: d.quarantine, Silence: failureTimeout,
+			Quarantine: d.quarantine, FailureTimeout: failureTimeout,
 			Send: func(hb *zinccovev1.Heartbeat, to ...netip.AddrPort) (size, sent int, err error) {
 				return d.transport.Send(hb, to...)
 			},
@@ -104,7 +104,7 @@
 		case task := <-l.tasks:
 			l.spend(func() { task(l) })
 		case <-l.daemon.quarantine.Changed():
-			l.spend(func() { l.credit -= float64(l.contact.TellSuspects(l.destinations()...)) })
+			l.spend(func() { l.credit -= float64(l.contact.SendSuspects(l.destinations()...)) })
 		case <-tick.Chan():
 			l.spend(func() { l.tick(ctx) })
 		}
@@ -120,15 +120,15 @@
 
 // hear takes a heartbeat of another router.
 func (l *loop) hear(ctx context.Context, r contact.Received) {
-	host, news := l.contact.Hear(r)
+	host, news := l.contact.HandleHeartbeat(r)
 	switch news {
 	case member.Ignored:
 		return
 	case member.Restarted:
 		_, known := l.inFlight[host.Name]
-		l.book.Restart(host.Name, !known && r.Heartbeat.Sequence > lateSequence)
+		l.book.ResetHost(host.Name, !known && r.Heartbeat.Sequence > lateSequence)
 	}
-	l.daemon.dispatcher.Observe(l.book.Absorb(host.Name, r.Heartbeat.Pools))
+	l.daemon.dispatcher.Observe(l.book.ApplyReports(host.Name, r.Heartbeat.Pools))
 	l.inFlight[host.Name] = inFlight(r.Heartbeat)
 	l.learn(ctx, host)
 }
@@ -189,7 +189,7 @@
 			leaving[h.Name] = true
 		}
 		if h.Peer.IsValid() {
-			l.contact.Members.Learn(member.Address{Name: h.Name, DataCentre: h.DataCentre, Peer: h.Peer, Leaving: leaving[h.Name]})
+			l.contact.Members.Upsert(member.Address{Name: h.Name, DataCentre: h.DataCentre, Peer: h.Peer, Leaving: leaving[h.Name]})
 		}
 	}
 	l.daemon.dispatcher.SetLeaving(leaving)
@@ -202,7 +202,7 @@
 		return
 	}
 	for _, h := range snap.Config.Hosts {
-		l.contact.Members.Learn(member.Address{Name: h.Name, DataCentre: h.DataCentre, Peer: h.Peer, Leaving: h.Leaving})
+		l.contact.Members.Upsert(member.Address{Name: h.Name, DataCentre: h.DataCentre, Peer: h.Peer, Leaving: h.Leaving})
 	}
 }
 
@@ -238,7 +238,7 @@
 func (l *loop) expire() {
 	gone, forgotten := l.contact.Expire(forgetAfter)
 	for _, h := range gone {
-		l.book.Silence(h.Name)
+		l.book.ClearDemand(h.Name)
 		l.inFlight[h.Name] = nil
 	}
 	for _, h := range forgotten {
@@ -303,7 +303,7 @@
 	to := l.destinations()
 	sent, cost := l.contact.Send(l.heartbeat(), to...)
 	l.daemon.metrics.Add(metric.HeartbeatsSent, sent)
-	return cost + l.contact.TellSuspects(to...)
+	return cost + l.contact.SendSuspects(to...)
 }
 
 // destinations returns the addresses of all known routers and, while there are
@@ -326,7 +326,7 @@
 func (l *loop) heartbeat() *zinccovev1.Heartbeat {
 	d := l.daemon
 	d.dispatcher.Counters(l.book.SetLocal)
-	hb := l.contact.Header(d.syncer.Current().Version(), d.stopping.Load())
+	hb := l.contact.NewHeartbeat(d.syncer.Current().Version(), d.stopping.Load())
 	hb.Pools = l.book.Report()
 	hb.Targets, hb.InFlight = busiest(d.dispatcher.OwnInFlight())
 	if hb.Sequence <= identifyEvery/2 || hb.Sequence%identifyEvery == 0 {
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -33,7 +33,7 @@
 type fakeRouter struct {
 	*Dispatcher
 	name string
-	book *exchange.Book
+	book *exchange.Table
 }
 
 // fakeRequest runs at a target: it takes its input at once and a token a step.
@@ -93,7 +93,7 @@
 	}
 	for _, r := range f.routers {
 		for _, other := range f.routers {
-			r.book.Restart(other.name, false)
+			r.book.ResetHost(other.name, false)
 		}
 	}
 	for i := range f.cfg.Customers {
@@ -195,10 +195,10 @@
 				continue
 			}
 			if !f.connected(i, k) {
-				to.book.Silence(from.name)
+				to.book.ClearDemand(from.name)
 				continue
 			}
-			to.Observe(to.book.Absorb(from.name, report))
+			to.Observe(to.book.ApplyReports(from.name, report))
 		}
 	}
 	for i, r := range f.routers {
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -6,14 +6,14 @@
 // a later one. A report holds the counters that changed lately and, in turn, a
 // few of the others.
 //
-// The package has no I/O and no clock. The control loop owns a Book.
+// The package has no I/O and no clock. The control loop owns a Table.
 //
 // # Usage
 //
 //	b := exchange.New(exchange.Options{Repeats: 3, Rotate: 4, MaxEntries: 100})
 //	b.SetLocal(key, counters)             // before each heartbeat
 //	hb.Pools = b.Report()
-//	observed := b.Absorb(host, late, hb.Pools) // service to charge
+//	observed := t.ApplyReports(host, hb.Pools) // service to charge
 //
 // # Limits
 //
@@ -70,9 +70,9 @@
 	MaxEntries int
 }
 
-// Book holds the counters of this router and of all others. It is not safe
+// Table holds the counters of this router and of all others. It is not safe
 // for concurrent use.
-type Book struct {
+type Table struct {
 	options Options
 	local   map[Key]*localEntry
 	order   []*localEntry
@@ -94,12 +94,12 @@
 }
 
 // New returns an empty book.
-func New(o Options) *Book {
-	return &Book{options: o, local: make(map[Key]*localEntry), remotes: make(map[string]*remote)}
+func New(o Options) *Table {
+	return &Table{options: o, local: make(map[Key]*localEntry), remotes: make(map[string]*remote)}
 }
 
 // SetLocal sets the counters of this router for a key.
-func (b *Book) SetLocal(k Key, c Counters) {
+func (b *Table) SetLocal(k Key, c Counters) {
 	e := b.local[k]
 	if e == nil {
 		e = &localEntry{key: k}
@@ -114,7 +114,7 @@
 
 // Report returns the counters for the next heartbeat: those that changed
 // first, then some others in turn.
-func (b *Book) Report() []*zinccovev1.PoolReport {
+func (b *Table) Report() []*zinccovev1.PoolReport {
 	chosen := b.changed()
 	chosen = b.rotate(chosen)
 	slices.SortFunc(chosen, func(x, y *localEntry) int {
@@ -123,7 +123,7 @@
 	return encode(chosen)
 }
 
-func (b *Book) changed() []*localEntry {
+func (b *Table) changed() []*localEntry {
 	var chosen []*localEntry
 	n := len(b.order)
 	for i := range n {
@@ -140,7 +140,7 @@
 	return chosen
 }
 
-func (b *Book) rotate(chosen []*localEntry) []*localEntry {
+func (b *Table) rotate(chosen []*localEntry) []*localEntry {
 	room := min(b.options.Rotate, b.options.MaxEntries-len(chosen), len(b.order))
 	for range room {
 		e := b.order[b.cursor%len(b.order)]
@@ -167,16 +167,16 @@
 	return reports
 }
 
-// Restart forgets the counters of a host whose run changed. Late tells that
+// ResetHost forgets the counters of a host whose run changed. Late tells that
 // the run had been going on for long when it was first heard.
-func (b *Book) Restart(host string, late bool) {
+func (b *Table) ResetHost(host string, late bool) {
 	b.remotes[host] = &remote{late: late, entries: make(map[Key]Counters)}
 }
 
-// Absorb takes the report of a host, which Restart must have named, and
+// ApplyReports takes the report of a host, which ResetHost must have named, and
 // returns the service in it that was not known yet. Reports must come in the
 // order of their heartbeats; malformed ones are ignored.
-func (b *Book) Absorb(host string, reports []*zinccovev1.PoolReport) []Observation {
+func (b *Table) ApplyReports(host string, reports []*zinccovev1.PoolReport) []Observation {
 	r := b.remotes[host]
 	if r == nil {
 		return nil
@@ -208,9 +208,9 @@
 	return next.Served - last.Served
 }
 
-// Silence drops the demand of a host that is not reachable. Its service stays
+// ClearDemand drops the demand of a host that is not reachable. Its service stays
 // known, so that nothing is observed twice when it is heard again.
-func (b *Book) Silence(host string) {
+func (b *Table) ClearDemand(host string) {
 	r := b.remotes[host]
 	if r == nil {
 		return
@@ -221,12 +221,12 @@
 }
 
 // Forget removes all that is known of a host.
-func (b *Book) Forget(host string) { delete(b.remotes, host) }
+func (b *Table) Forget(host string) { delete(b.remotes, host) }
 
 // Demands returns what the routers announced that they want of each pool, this
 // one under the name self, ordered by host and customer so that every router
 // computes alike.
-func (b *Book) Demands(self string) map[uint32][]Demand {
+func (b *Table) Demands(self string) map[uint32][]Demand {
 	demands := make(map[uint32][]Demand)
 	add := func(host string, k Key, c Counters) {
 		if c.Queued > 0 || c.Running > 0 {
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -24,45 +24,45 @@
 
 func TestAbsorbObservesEachServiceOnce(t *testing.T) {
 	a, b := New(testOptions), New(testOptions)
-	b.Restart("a", false)
+	b.ResetHost("a", false)
 	k := Key{Pool: 1, Customer: 2}
 	a.SetLocal(k, Counters{Served: 10, Queued: 1})
 	first := a.Report()
-	assert.Equal(t, total(b.Absorb("a", first)), uint64(10))
-	assert.Equal(t, total(b.Absorb("a", first)), uint64(0))
+	assert.Equal(t, total(b.ApplyReports("a", first)), uint64(10))
+	assert.Equal(t, total(b.ApplyReports("a", first)), uint64(0))
 	a.SetLocal(k, Counters{Served: 25, Running: 1})
-	assert.Equal(t, total(b.Absorb("a", a.Report())), uint64(15))
+	assert.Equal(t, total(b.ApplyReports("a", a.Report())), uint64(15))
 	assert.DeepEqual(t, b.Demands("self")[1], []Demand{{Host: "a", Customer: 2, Running: 1}})
 }
 
 func TestLateRunIsObservedFromItsFirstReportOn(t *testing.T) {
 	a, b := New(testOptions), New(testOptions)
-	b.Restart("a", true)
+	b.ResetHost("a", true)
 	k := Key{Pool: 1, Customer: 2}
 	a.SetLocal(k, Counters{Served: 1000})
-	assert.Equal(t, total(b.Absorb("a", a.Report())), uint64(0))
+	assert.Equal(t, total(b.ApplyReports("a", a.Report())), uint64(0))
 	a.SetLocal(k, Counters{Served: 1007})
-	assert.Equal(t, total(b.Absorb("a", a.Report())), uint64(7))
+	assert.Equal(t, total(b.ApplyReports("a", a.Report())), uint64(7))
 }
 
 func TestSilenceDropsDemandAndKeepsService(t *testing.T) {
 	a, b := New(testOptions), New(testOptions)
-	b.Restart("a", false)
+	b.ResetHost("a", false)
 	a.SetLocal(Key{Pool: 1, Customer: 2}, Counters{Served: 10, Queued: 5})
 	report := a.Report()
-	b.Absorb("a", report)
-	b.Silence("a")
+	b.ApplyReports("a", report)
+	b.ClearDemand("a")
 	assert.Equal(t, len(b.Demands("self")), 0)
-	assert.Equal(t, total(b.Absorb("a", report)), uint64(0))
+	assert.Equal(t, total(b.ApplyReports("a", report)), uint64(0))
 	assert.Equal(t, len(b.Demands("self")), 1)
 }
 
 func TestMalformedReportIsIgnored(t *testing.T) {
 	b := New(testOptions)
-	b.Restart("a", false)
+	b.ResetHost("a", false)
 	bad := []*zinccovev1.PoolReport{{Pool: 1, Customers: []uint32{1, 2}, Served: []uint64{1}}}
-	assert.Equal(t, len(b.Absorb("a", bad)), 0)
-	assert.Equal(t, len(b.Absorb("unknown", bad)), 0)
+	assert.Equal(t, len(b.ApplyReports("a", bad)), 0)
+	assert.Equal(t, len(b.ApplyReports("unknown", bad)), 0)
 }
 
 // TestReportsConverge loses, repeats and reorders reports at random and checks
@@ -71,11 +71,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		const customers = 12
 		a, b := New(testOptions), New(testOptions)
-		b.Restart("a", false)
+		b.ResetHost("a", false)
 		var served [customers]uint64
 		var observed [customers]uint64
 		absorb := func(r []*zinccovev1.PoolReport) {
-			for _, o := range b.Absorb("a", r) {
+			for _, o := range b.ApplyReports("a", r) {
 				observed[o.Key.Customer] += o.Cost
 			}
 		}
@@ -107,7 +107,7 @@
 	for _, customers := range []int{16, 100, 600} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
 			from, to := New(Options{Repeats: 3, Rotate: 4, MaxEntries: 100}), New(testOptions)
-			to.Restart("a", false)
+			to.ResetHost("a", false)
 			var n uint64
 			b.ReportAllocs()
 			for b.Loop() {
@@ -119,7 +119,7 @@
 				assert.NilError(b, err)
 				var hb zinccovev1.Heartbeat
 				assert.NilError(b, proto.Unmarshal(body, &hb))
-				to.Absorb("a", hb.Pools)
+				to.ApplyReports("a", hb.Pools)
 			}
 		})
 	}
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -2,7 +2,7 @@
 //
 // A store prices each call, and a fleet whose routers all follow it by themselves
 // makes as many calls for each change as it has routers. So a
-// few routers of each data centre follow the store (Leaders) and the others follow
+// few routers of each data centre follow the store (LeaderCount) and the others follow
 // them. A Log keeps the newest state of each row, so that a reader can go on from any
 // revision since the router read the table whole, also when it followed another router
 // before; one that is further behind is given the whole table in pages, which are encoded
@@ -13,8 +13,8 @@
 //
 // # Usage
 //
-//	l := feed.NewLog(feed.Options[platform.Change]{Clock: clock, Pack: pack, Most: 16 << 20})
-//	l.SetKeeping(true)                   // while others may ask
+//	l := feed.NewLog(feed.Options[platform.Change]{Clock: clock, Encode: encode, MaxBytes: 16 << 20})
+//	l.SetRetainRows(true)                // while others may ask
 //	l.Reset(revision, rows...)           // after reading the table whole
 //	l.Append(revision, rows...)          // each change
 //	l.Confirm(clock.Now())               // the store answered
@@ -55,36 +55,36 @@
 	Value R
 }
 
-// Dated is a row and when it was read.
-type Dated[R any] struct {
+// TimedRow is a row and when it was read.
+type TimedRow[R any] struct {
 	Row[R]
-	At time.Time
+	ReadAt time.Time
 }
 
-// News is what a log knows beyond a revision.
-type News[R any] struct {
+// Changes is what a log knows beyond a revision.
+type Changes[R any] struct {
 	// Rows are the newest states of the rows that changed since, by revision.
-	Rows []Dated[R]
-	// Whole tells that the log does not reach back, so that Pages have the whole table,
-	// as Options.Pack encoded them.
-	Whole bool
-	Pages [][]byte
+	Rows []TimedRow[R]
+	// Complete tells that the log does not reach back, so that Pages have the whole table,
+	// as Options.Encode encoded them.
+	Complete bool
+	Pages    [][]byte
 	// Revision is that up to which the log knows the table.
 	Revision revision.Revision
-	// Lost tells that the store does not answer the router.
-	Lost bool
-	// Answered is when the store last answered.
-	Answered time.Time
+	// StoreLost tells that the store does not answer the router.
+	StoreLost bool
+	// LastResponse is when the store last answered.
+	LastResponse time.Time
 }
 
 // Options configure a Log. All are required.
 type Options[R any] struct {
 	Clock clockwork.Clock
-	// Pack encodes rows of a whole table for readers.
-	Pack func(rows []Row[R]) []byte
-	// Most bounds the rows kept in bytes. Of a larger table nothing is kept, and readers
+	// Encode encodes rows of a whole table for readers.
+	Encode func(rows []Row[R]) []byte
+	// MaxBytes bounds the rows kept in bytes. Of a larger table nothing is kept, and readers
 	// that are behind read the store.
-	Most int
+	MaxBytes int
 }
 
 // Log keeps the changes of a table.
@@ -121,7 +121,7 @@
 
 // slot is a place for the state of a row.
 type slot[R any] struct {
-	Dated[R]
+	TimedRow[R]
 	live bool
 }
 
@@ -138,9 +138,9 @@
 	return &Log[R]{options: o, at: make(map[string]int), changed: make(chan struct{})}
 }
 
-// SetKeeping says whether rows are kept for readers. A log that begins to keep them is
+// SetRetainRows says whether rows are kept for readers. A log that begins to keep them is
 // incomplete until the next Reset.
-func (l *Log[R]) SetKeeping(keep bool) {
+func (l *Log[R]) SetRetainRows(keep bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.keeping && !keep {
@@ -149,8 +149,8 @@
 	l.keeping = keep
 }
 
-// Wanting reports whether the table has to be read whole before it can be given to readers.
-func (l *Log[R]) Wanting() bool {
+// NeedsSnapshot reports whether the table has to be read whole before it can be given to readers.
+func (l *Log[R]) NeedsSnapshot() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.keeping && !l.complete && !l.tooLarge
@@ -205,10 +205,10 @@
 		if n := len(l.rows); n > 0 && r.Revision.Before(l.rows[n-1].Revision) {
 			inOrder = false
 		}
-		l.put(slot[R]{Dated: Dated[R]{Row: r, At: now.Add(-r.Age)}, live: true})
+		l.put(slot[R]{TimedRow: TimedRow[R]{Row: r, ReadAt: now.Add(-r.Age)}, live: true})
 	}
 	switch {
-	case l.size > l.options.Most:
+	case l.size > l.options.MaxBytes:
 		l.forget()
 		l.tooLarge = true
 	case !inOrder || l.dead > max(leastDead, len(l.rows)/2) || l.removed > 2*mostRemoved:
@@ -234,7 +234,7 @@
 	if s.Removed {
 		l.removed--
 	}
-	*s = slot[R]{Dated: Dated[R]{Row: Row[R]{Revision: s.Revision}}}
+	*s = slot[R]{TimedRow: TimedRow[R]{Row: Row[R]{Revision: s.Revision}}}
 	l.dead++
 	l.changePage(i)
 }
@@ -309,20 +309,20 @@
 // Since returns what is known beyond a revision, and a channel that is closed when
 // that changes. A log that knows nothing yet counts as lost. A reader that knows an
 // earlier era is given the whole table: what it knows may be gone.
-func (l *Log[R]) Since(known revision.Revision) (News[R], <-chan struct{}, error) {
+func (l *Log[R]) Since(known revision.Revision) (Changes[R], <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.closed:
-		return News[R]{}, nil, ErrClosed
+		return Changes[R]{}, nil, ErrClosed
 	case l.known && known.Before(l.base) && !l.complete:
-		return News[R]{}, nil, ErrHistoryLost
+		return Changes[R]{}, nil, ErrHistoryLost
 	}
-	n := News[R]{Revision: revision.Later(l.latest, known), Lost: l.lost || !l.known, Answered: l.answered}
-	n.Whole = l.known && known.Before(l.base)
+	n := Changes[R]{Revision: revision.Later(l.latest, known), StoreLost: l.lost || !l.known, LastResponse: l.answered}
+	n.Complete = l.known && known.Before(l.base)
 	switch {
 	case !known.Before(l.latest):
-	case n.Whole:
+	case n.Complete:
 		n.Pages = l.wholeTable()
 	default:
 		n.Rows = l.rowsAfter(known)
@@ -331,12 +331,12 @@
 }
 
 // rowsAfter returns the live rows that changed after a revision.
-func (l *Log[R]) rowsAfter(known revision.Revision) []Dated[R] {
+func (l *Log[R]) rowsAfter(known revision.Revision) []TimedRow[R] {
 	first := sort.Search(len(l.rows), func(i int) bool { return known.Before(l.rows[i].Revision) })
-	var rows []Dated[R]
+	var rows []TimedRow[R]
 	for _, s := range l.rows[first:] {
 		if s.live {
-			rows = append(rows, s.Dated)
+			rows = append(rows, s.TimedRow)
 		}
 	}
 	return rows
@@ -363,5 +363,5 @@
 			rows = append(rows, s.Row)
 		}
 	}
-	return l.options.Pack(rows)
+	return l.options.Encode(rows)
 }
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -25,14 +25,14 @@
 
 // newLog returns a log that keeps rows, and packs values one on a line.
 func newLog() *Log[string] {
-	l := NewLog(Options[string]{Clock: clockwork.NewFakeClock(), Most: most, Pack: func(rows []Row[string]) []byte {
+	l := NewLog(Options[string]{Clock: clockwork.NewFakeClock(), MaxBytes: most, Encode: func(rows []Row[string]) []byte {
 		var page []byte
 		for _, r := range rows {
 			page = append(page, r.Value+"\n"...)
 		}
 		return page
 	}})
-	l.SetKeeping(true)
+	l.SetRetainRows(true)
 	return l
 }
 
@@ -70,11 +70,11 @@
 	l.Append(at(6), row("a", 6))
 	n, _, err := l.Since(at(3))
 	assert.NilError(t, err)
-	assert.Assert(t, n.Whole)
+	assert.Assert(t, n.Complete)
 	assert.DeepEqual(t, keys(t, l, 3), []string{"b4", "a6"})
 	n, _, err = l.Since(at(5))
 	assert.NilError(t, err)
-	assert.Assert(t, !n.Whole)
+	assert.Assert(t, !n.Complete)
 	assert.DeepEqual(t, keys(t, l, 5), []string{"a6"})
 }
 
@@ -86,13 +86,13 @@
 	l.Append(at(6), big)
 	_, _, err := l.Since(at(5))
 	assert.Assert(t, eris.Is(err, ErrHistoryLost), "memory is bounded")
-	assert.Assert(t, !l.Wanting(), "reading it again would not help")
+	assert.Assert(t, !l.NeedsSnapshot(), "reading it again would not help")
 	l.Append(at(8), row("c", 8))
 	assert.DeepEqual(t, keys(t, l, 6), []string{"c8"})
 	l.Reset(at(30), row("d", 9))
 	n, _, err := l.Since(at(8))
 	assert.NilError(t, err)
-	assert.Assert(t, n.Whole, "the store lost its history in between, so that removals are not known")
+	assert.Assert(t, n.Complete, "the store lost its history in between, so that removals are not known")
 }
 
 // TestTablesOfThousandsAreGivenWhole has a reader that is behind a table of 3,000 targets,
@@ -109,7 +109,7 @@
 	l.Reset(at(targets), rows...)
 	n, _, err := l.Since(at(0))
 	assert.NilError(t, err)
-	assert.Assert(t, n.Whole)
+	assert.Assert(t, n.Complete)
 	assert.Equal(t, len(unpack(n.Pages)), targets)
 	l.Append(at(targets+1), row("t5", targets+1))
 	assert.DeepEqual(t, keys(t, l, targets), []string{"t53001"})
@@ -142,13 +142,13 @@
 	}
 	n, _, err := l.Since(at(0))
 	assert.NilError(t, err)
-	assert.Assert(t, n.Lost, "nothing is known yet")
+	assert.Assert(t, n.StoreLost, "nothing is known yet")
 	wakes("the first table", func() { l.Reset(at(5)) })
 	wakes("a change", func() { l.Append(at(6), row("a", 6)) })
 	wakes("the loss of the store", l.SetLost)
 	n, _, err = l.Since(at(6))
 	assert.NilError(t, err)
-	assert.Assert(t, n.Lost)
+	assert.Assert(t, n.StoreLost)
 	wakes("its return", func() { l.Confirm(l.options.Clock.Now()) })
 	wakes("the end", l.Close)
 	_, _, err = l.Since(at(6))
@@ -166,12 +166,12 @@
 	l.Reset(inEra(2, 40), again)
 	n, _, err := l.Since(inEra(1, 90))
 	assert.NilError(t, err)
-	assert.Assert(t, n.Whole)
+	assert.Assert(t, n.Complete)
 	assert.Equal(t, n.Revision, inEra(2, 40))
 	assert.DeepEqual(t, unpack(n.Pages), []string{"a40"})
 	n, _, err = l.Since(inEra(3, 5))
 	assert.NilError(t, err)
-	assert.Assert(t, !n.Whole && len(n.Rows) == 0, "a reader that knows a later era is told nothing")
+	assert.Assert(t, !n.Complete && len(n.Rows) == 0, "a reader that knows a later era is told nothing")
 }
 
 // TestPagesAreEncodedOnceForAllReaders has many readers read a table of tens of thousands of
@@ -181,8 +181,8 @@
 	for _, rows := range []int{1000, 10_000, 20_000} {
 		l := newLog()
 		packed := 0
-		pack := l.options.Pack
-		l.options.Pack = func(rows []Row[string]) []byte { packed += len(rows); return pack(rows) }
+		pack := l.options.Encode
+		l.options.Encode = func(rows []Row[string]) []byte { packed += len(rows); return pack(rows) }
 		var table []Row[string]
 		for i := range rows {
 			table = append(table, row(fmt.Sprint("t", i, "-"), uint64(i+1)))
@@ -247,7 +247,7 @@
 	assert.Assert(t, len(l.rows) <= mostRemoved)
 	n, _, err := l.Since(at(2))
 	assert.NilError(t, err)
-	assert.Assert(t, n.Whole)
+	assert.Assert(t, n.Complete)
 	n, _, err = l.Since(at(gone))
 	assert.NilError(t, err)
 	assert.Equal(t, len(n.Rows), 1)
@@ -256,22 +256,22 @@
 // TestLogThatKeepsNothingSaysSo has a log begin to keep rows after it was read.
 func TestLogThatKeepsNothingSaysSo(t *testing.T) {
 	l := newLog()
-	l.SetKeeping(false)
-	assert.Assert(t, !l.Wanting())
+	l.SetRetainRows(false)
+	assert.Assert(t, !l.NeedsSnapshot())
 	l.Reset(at(5), row("a", 2))
 	l.Append(at(6), row("a", 6))
 	_, _, err := l.Since(at(5))
 	assert.Assert(t, eris.Is(err, ErrHistoryLost))
 	n, _, err := l.Since(at(6))
 	assert.NilError(t, err)
-	assert.Assert(t, !n.Whole && len(n.Rows) == 0)
-	l.SetKeeping(true)
-	assert.Assert(t, l.Wanting())
+	assert.Assert(t, !n.Complete && len(n.Rows) == 0)
+	l.SetRetainRows(true)
+	assert.Assert(t, l.NeedsSnapshot())
 	l.Append(at(7), row("b", 7))
 	assert.DeepEqual(t, keys(t, l, 6), []string{"b7"})
 	_, _, err = l.Since(at(5))
 	assert.Assert(t, eris.Is(err, ErrHistoryLost))
 	l.Reset(at(8), row("a", 6), row("b", 7))
-	assert.Assert(t, !l.Wanting())
+	assert.Assert(t, !l.NeedsSnapshot())
 	assert.DeepEqual(t, keys(t, l, 5), []string{"a6", "b7"})
 }
--- a/feed/leaders.go
+++ b/feed/leaders.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// Leaders is the number of routers of each data centre that follow the store for the
+	// LeaderCount is the number of routers of each data centre that follow the store for the
 	// others, and of relays of each cell: two may be lost in the same moment without a router
 	// that has to find out by a time-out of its own.
-	Leaders = 3
+	LeaderCount = 3
 	// CellSize is the most routers of a cell, on average. Each relay serves a part of them.
 	CellSize = 64
 )
 
 // Role is what a router does for the others of its data centre.
 //
-// The first Leaders by name follow the store. In a large data centre the routers are spread
-// over cells by the hashes of their names, and the first Leaders of each cell, its relays,
+// The first LeaderCount by name follow the store. In a large data centre the routers are spread
+// over cells by the hashes of their names, and the first LeaderCount of each cell, its relays,
 // follow the leaders and serve the cell: so nobody serves more routers than a cell has,
 // however many there are. Routers that see others differently for a while ask some that do
 // not serve, and go on to the next.
@@ -30,8 +30,8 @@
 	Leads bool
 	// Serves tells that others may follow this router.
 	Serves bool
-	// Keeps tells that the router serves, or is among the next to.
-	Keeps bool
+	// Retains tells that the router serves, or is among the next to.
+	Retains bool
 	// Cell are the other routers of the cell, by name.
 	Cell []string
 	// Relays are the first of the cell that are not this one, by name.
@@ -45,7 +45,7 @@
 func RoleOf(self string, others []string, known int) Role {
 	all := append(slices.Clone(others), self)
 	slices.Sort(all)
-	cells := Cells(known)
+	cells := CellCount(known)
 	own := CellOf(self, cells)
 	r := Role{Rank: slices.Index(all, self)}
 	var cell []string
@@ -55,12 +55,12 @@
 		}
 	}
 	inCell := slices.Index(cell, self)
-	r.Leads = r.Rank < Leaders
-	r.Serves = r.Leads || inCell < Leaders
-	r.Keeps = r.Rank < 2*Leaders || inCell < 2*Leaders
+	r.Leads = r.Rank < LeaderCount
+	r.Serves = r.Leads || inCell < LeaderCount
+	r.Retains = r.Rank < 2*LeaderCount || inCell < 2*LeaderCount
 	r.Cell = slices.Delete(cell, inCell, inCell+1)
-	r.Relays = r.Cell[:min(Leaders, len(r.Cell))]
-	leaders := without(all[:min(Leaders, len(all))], self)
+	r.Relays = r.Cell[:min(LeaderCount, len(r.Cell))]
+	leaders := without(all[:min(LeaderCount, len(all))], self)
 	switch {
 	case r.Leads:
 	case r.Serves:
@@ -76,9 +76,9 @@
 	return r
 }
 
-// Cells is the number of cells of a data centre with so many known routers. It doubles when
+// CellCount is the number of cells of a data centre with so many known routers. It doubles when
 // they have outgrown their size, so that few routers change their cell.
-func Cells(routers int) int {
+func CellCount(routers int) int {
 	full := (routers + CellSize - 1) / CellSize
 	if full <= 1 {
 		return 1
@@ -93,7 +93,7 @@
 func Relays(cell, cells int, routers []string) []string {
 	var first []string
 	for _, name := range slices.Sorted(slices.Values(routers)) {
-		if CellOf(name, cells) == cell && len(first) < Leaders {
+		if CellOf(name, cells) == cell && len(first) < LeaderCount {
 			first = append(first, name)
 		}
 	}
--- a/feed/leaders_test.go
+++ b/feed/leaders_test.go
@@ -35,20 +35,20 @@
 				continue
 			}
 			served[r.Sources[0]]++
-			assert.Assert(t, len(r.Sources) >= Leaders)
+			assert.Assert(t, len(r.Sources) >= LeaderCount)
 		}
-		assert.Equal(t, leads, min(Leaders, n))
+		assert.Equal(t, leads, min(LeaderCount, n))
 		for _, self := range all {
 			for _, source := range roles[self].Sources {
 				assert.Assert(t, roles[source].Serves, "%s follows %s", self, source)
-				assert.Assert(t, roles[source].Keeps)
+				assert.Assert(t, roles[source].Retains)
 				if !roles[source].Leads {
 					assert.Assert(t, !roles[self].Serves, "relays follow leaders")
 				}
 			}
 		}
 		for source, count := range served {
-			assert.Assert(t, count <= CellSize/Leaders*2+Leaders*Cells(n), "%s serves %d of %d", source, count, n)
+			assert.Assert(t, count <= CellSize/LeaderCount*2+LeaderCount*CellCount(n), "%s serves %d of %d", source, count, n)
 		}
 	}
 }
@@ -61,7 +61,7 @@
 		assert.Equal(t, r.Serves, r.Leads)
 		assert.Equal(t, len(r.Cell), len(all)-1)
 		if !r.Leads {
-			assert.Equal(t, len(r.Sources), Leaders)
+			assert.Equal(t, len(r.Sources), LeaderCount)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 // TestRelaysAreThoseOfTheirCell compares what others expect of a cell with the roles.
 func TestRelaysAreThoseOfTheirCell(t *testing.T) {
 	all := routers(217)
-	cells := Cells(len(all))
+	cells := CellCount(len(all))
 	for i, self := range all {
 		r := RoleOf(self, slices.Delete(slices.Clone(all), i, i+1), len(all))
 		isRelay := slices.Contains(Relays(CellOf(self, cells), cells, all), self)
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -17,9 +17,9 @@
 //		Clock: clock, Snapshot: snapshot, Feed: feed, // calls of the client, bound to a table
 //		Hold: func() time.Duration { return 2 * time.Second },
 //		HistoryLost: func(err error) bool { return eris.Is(err, platform.ErrHistoryLost) },
-//		Whole:       func(b platform.Batch) { ... }, // all rows
-//		Changed:     func(b platform.Batch) { ... }, // rows written or removed since
-//		Lost:        func(l follow.Loss) { ... }, Regained: func() { ... }, Alive: func() { ... },
+//		OnSnapshot:  func(b platform.Batch) { ... }, // all rows
+//		OnChanges:   func(b platform.Batch) { ... }, // rows written or removed since
+//		OnLost:      func(l follow.Loss) { ... }, OnRegained: func() { ... }, OnSuccess: func() { ... },
 //	})
 package follow
 
@@ -35,7 +35,7 @@
 )
 
 // Options configure a follower of batches of type B. All but Full and
-// Settle are required.
+// BatchDelay are required.
 type Options[B any] struct {
 	Clock clockwork.Clock
 	// Snapshot reads the whole table and returns the revision it is of.
@@ -44,26 +44,26 @@
 	Feed func(ctx context.Context, since revision.Revision, wait time.Duration) (B, revision.Revision, error)
 	// HistoryLost tells whether an error of Feed asks for a new snapshot.
 	HistoryLost func(error) bool
-	// Whole takes a snapshot, Changed what followed it.
-	Whole   func(B)
-	Changed func(B)
-	// Lost is called with the first of a series of failures, Regained with the
+	// OnSnapshot takes a snapshot, Changed what followed it.
+	OnSnapshot func(B)
+	OnChanges  func(B)
+	// OnLost is called with the first of a series of failures, OnRegained with the
 	// first success after it.
-	Lost     func(Loss)
-	Regained func()
-	// Alive is called with each success.
-	Alive func()
+	OnLost     func(Loss)
+	OnRegained func()
+	// OnSuccess is called with each success.
+	OnSuccess func()
 	// Hold is how long the next feed is held open without news.
 	Hold func() time.Duration
 	// Full reports whether a batch has as much as one answer can have, so that more waits to
 	// be asked for at once; nil takes none for full.
 	Full func(B) bool
-	// Settle is how long to wait at most after changes before asking for more, so
+	// BatchDelay is how long to wait at most after changes before asking for more, so
 	// that changes in quick succession come in one answer; nil asks at once. The
 	// wait is drawn from its last quarter: processes that read the same change would
 	// otherwise all ask again at the same moment, and all be without news if that
 	// moment is a bad one.
-	Settle func() time.Duration
+	BatchDelay func() time.Duration
 }
 
 // Loss is the first of a series of failures.
@@ -71,10 +71,10 @@
 	Err error
 	// Since is the revision that was followed from, zero before the table was read.
 	Since revision.Revision
-	// Waited is how long the call that failed had been under way, Unheard the time
+	// Waited is how long the call that failed had been under way, SinceResponse the time
 	// since the last answer; 0 if there was none.
-	Waited  time.Duration
-	Unheard time.Duration
+	Waited        time.Duration
+	SinceResponse time.Duration
 }
 
 const (
@@ -138,14 +138,14 @@
 	f.succeeded()
 	f.since, f.known = revision.Later(since, f.since), true
 	if whole {
-		f.options.Whole(batch)
+		f.options.OnSnapshot(batch)
 		return nil
 	}
-	f.options.Changed(batch)
-	if f.options.Settle == nil || f.options.Full != nil && f.options.Full(batch) {
+	f.options.OnChanges(batch)
+	if f.options.BatchDelay == nil || f.options.Full != nil && f.options.Full(batch) {
 		return nil
 	}
-	f.rest(ctx, settled(f.options.Settle()))
+	f.rest(ctx, settled(f.options.BatchDelay()))
 	return nil
 }
 
@@ -179,9 +179,9 @@
 	f.heard = f.options.Clock.Now()
 	if f.lost {
 		f.lost = false
-		f.options.Regained()
+		f.options.OnRegained()
 	}
-	f.options.Alive()
+	f.options.OnSuccess()
 }
 
 func (f *follower[B]) failed(ctx context.Context, err error) {
@@ -191,7 +191,7 @@
 	}
 	if !f.lost {
 		f.lost = true
-		f.options.Lost(f.loss(err))
+		f.options.OnLost(f.loss(err))
 	}
 	f.pause = min(max(2*f.pause, firstPause), longestPause)
 	f.rest(ctx, f.pause/2+rand.N(f.pause))
@@ -202,7 +202,7 @@
 	now := f.options.Clock.Now()
 	l := Loss{Err: err, Since: f.since, Waited: now.Sub(f.asked)}
 	if !f.heard.IsZero() {
-		l.Unheard = now.Sub(f.heard)
+		l.SinceResponse = now.Sub(f.heard)
 	}
 	return l
 }
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -64,11 +64,11 @@
 				return s.take("feed")
 			},
 			HistoryLost: func(err error) bool { return eris.Is(err, errForgotten) },
-			Whole:       func(b string) { s.log = append(s.log, "whole "+b) },
-			Changed:     func(b string) { s.log = append(s.log, "changed "+b) },
-			Lost:        func(Loss) { s.log = append(s.log, "lost") },
-			Regained:    func() { s.log = append(s.log, "regained") },
-			Alive:       func() {},
+			OnSnapshot:  func(b string) { s.log = append(s.log, "whole "+b) },
+			OnChanges:   func(b string) { s.log = append(s.log, "changed "+b) },
+			OnLost:      func(Loss) { s.log = append(s.log, "lost") },
+			OnRegained:  func() { s.log = append(s.log, "regained") },
+			OnSuccess:   func() {},
 			Hold:        func() time.Duration { return testHold },
 		})
 	})
@@ -156,9 +156,9 @@
 			}
 			return "full", revision.Revision{Count: from.Count + 1}, nil
 		},
-		HistoryLost: func(error) bool { return false }, Whole: func(string) {}, Changed: func(string) {},
-		Lost: func(Loss) {}, Regained: func() {}, Alive: func() {}, Hold: func() time.Duration { return testHold },
-		Full: func(b string) bool { return b == "full" }, Settle: func() time.Duration { return time.Hour },
+		HistoryLost: func(error) bool { return false }, OnSnapshot: func(string) {}, OnChanges: func(string) {},
+		OnLost: func(Loss) {}, OnRegained: func() {}, OnSuccess: func() {}, Hold: func() time.Duration { return testHold },
+		Full: func(b string) bool { return b == "full" }, BatchDelay: func() time.Duration { return time.Hour },
 	})
 	assert.NilError(t, err)
 	assert.Equal(t, asked, 4)
--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -117,7 +117,7 @@
 			return nil
 		case <-g.unannounced:
 		}
-		if !g.withdrawn.Swap(false) && g.clock.Since(written) > revision.CopyAge {
+		if !g.withdrawn.Swap(false) && g.clock.Since(written) > revision.MaxBackupAge {
 			continue
 		}
 		if err := g.store.Announce(ctx, self, g.ownPart()); err != nil {
--- a/gateway/ask.go
+++ b/gateway/ask.go
@@ -72,7 +72,7 @@
 // been silent.
 func (a *asker) ownerOf(target place.Hash) *owner.Router {
 	g := a.gateway
-	first, second := g.owners.Load().Of(owner.Target{Hash: target, DataCentre: g.placer.DataCentre(target)})
+	first, second := g.owners.Load().Owners(owner.Target{Hash: target, DataCentre: g.placer.DataCentre(target)})
 	if first == nil || second == nil || first.Name == a.gateway.settings.Host {
 		return first
 	}
--- a/gateway/ask_test.go
+++ b/gateway/ask_test.go
@@ -116,7 +116,7 @@
 
 func TestRouterThatAnswersForATargetKnowsWhatOthersPlacedThere(t *testing.T) {
 	all, clock := newAskers(t, 4, new(sync.Map))
-	first, second := all[0].owners.Load().Of(owner.Target{Hash: place.HashOf("t")})
+	first, second := all[0].owners.Load().Owners(owner.Target{Hash: place.HashOf("t")})
 	byName(all, first).placer.Place(ask("a"))
 	g := another(all, first, second)
 	r := ask("b")
@@ -132,7 +132,7 @@
 func TestSilentRouterDelaysFewRequests(t *testing.T) {
 	silent := new(sync.Map)
 	all, clock := newAskers(t, 4, silent)
-	first, second := all[0].owners.Load().Of(owner.Target{Hash: place.HashOf("t")})
+	first, second := all[0].owners.Load().Owners(owner.Target{Hash: place.HashOf("t")})
 	silent.Store(first.Name, true)
 	byName(all, second).placer.Place(ask("a"))
 	g := another(all, first, second)
--- a/gateway/beat.go
+++ b/gateway/beat.go
@@ -16,7 +16,7 @@
 	to := l.destinations()
 	sent, _ := l.contact.Send(l.heartbeat(), to...)
 	l.gateway.metrics.Add(metric.HeartbeatsSent, sent)
-	l.contact.TellSuspects(to...)
+	l.contact.SendSuspects(to...)
 }
 
 // usesPeriod is the time between heartbeats that carry the use by customers,
--- a/gateway/control_bench_test.go
+++ b/gateway/control_bench_test.go
@@ -76,7 +76,7 @@
 
 // hearHost has a router be heard.
 func (l *loop) hearHost(name, dataCentre string, incarnation uint64) {
-	l.contact.Hear(contact.Received{Heartbeat: &zinccovev1.Heartbeat{Incarnation: incarnation, Sequence: 1, Host: &zinccovev1.HostInfo{
+	l.contact.HandleHeartbeat(contact.Received{Heartbeat: &zinccovev1.Heartbeat{Incarnation: incarnation, Sequence: 1, Host: &zinccovev1.HostInfo{
 		Name: name, DataCentre: dataCentre, Control: "127.0.0.1:1", Peer: "127.0.0.1:9",
 	}}})
 }
@@ -125,7 +125,7 @@
 			relay.Uses = nil
 			relay.Report = &zinccovev1.Report{Scope: zinccovev1.Report_SCOPE_DOWN}
 			for dc := range 5 {
-				of := feed.Cells(n / 5)
+				of := feed.CellCount(n / 5)
 				for cell := range of {
 					relay.Report.Cells = append(relay.Report.Cells, &zinccovev1.CellReport{DataCentre: fmt.Sprint("dc-", dc), Number: uint32(cell), Of: uint32(of)})
 				}
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -69,7 +69,7 @@
 			return b, b.Revision, err
 		},
 		Feed: func(ctx context.Context, since revision.Revision, wait time.Duration) (platform.Batch, revision.Revision, error) {
-			if t.wantsWhole(log.Wanting()) {
+			if t.wantsWhole(log.NeedsSnapshot()) {
 				return platform.Batch{}, since, platform.ErrHistoryLost
 			}
 			b, ask, err := t.next(ctx, since, wait)
@@ -79,22 +79,22 @@
 			return b, b.Revision, err
 		},
 		HistoryLost: func(err error) bool { return eris.Is(err, platform.ErrHistoryLost) },
-		Whole: func(b platform.Batch) {
+		OnSnapshot: func(b platform.Batch) {
 			log.Reset(b.Revision, rowsOf(b)...)
 			take(b, true)
 		},
-		Changed: func(b platform.Batch) {
+		OnChanges: func(b platform.Batch) {
 			log.Append(b.Revision, rowsOf(b)...)
 			take(b, false)
 		},
-		Lost: func(loss follow.Loss) {
+		OnLost: func(loss follow.Loss) {
 			log.SetLost()
 			g.metrics.Inc(metric.PlatformErrors)
 			g.log.Warn().Err(loss.Err).Str("table", table).Stringer("since", loss.Since).
-				Dur("waited_ms", loss.Waited).Dur("unheard_ms", loss.Unheard).Msg("store lost")
+				Dur("waited_ms", loss.Waited).Dur("unheard_ms", loss.SinceResponse).Msg("store lost")
 		},
-		Regained: func() { g.log.Info().Str("table", table).Msg("store regained") },
-		Alive: func() {
+		OnRegained: func() { g.log.Info().Str("table", table).Msg("store regained") },
+		OnSuccess: func() {
 			heard := g.heardOf(table)
 			if !t.active() { // else the other router says when the store answered
 				heard.set(g.clock.Now())
@@ -112,9 +112,9 @@
 	o := g.source(t, func(b platform.Batch, whole bool) {
 		g.loop.post(ctx, func(l *loop) { l.takeOperators(b, whole) })
 	})
-	lost, regained := o.Lost, o.Regained
-	o.Lost = func(loss follow.Loss) { g.storeLost.Store(true); lost(loss) }
-	o.Regained = func() { g.storeLost.Store(false); regained() }
+	lost, regained := o.OnLost, o.OnRegained
+	o.OnLost = func(loss follow.Loss) { g.storeLost.Store(true); lost(loss) }
+	o.OnRegained = func() { g.storeLost.Store(false); regained() }
 	return follow.Run(ctx, o)
 }
 
@@ -177,16 +177,16 @@
 	o := g.source(t, func(b platform.Batch, whole bool) {
 		g.loop.post(ctx, func(l *loop) { l.takeTargets(b, whole) })
 	})
-	lost, regained := o.Lost, o.Regained
+	lost, regained := o.OnLost, o.OnRegained
 	o.Full = func(b platform.Batch) bool { return len(b.Changes) >= wire.MaxRows }
-	o.Settle = func() time.Duration {
+	o.BatchDelay = func() time.Duration {
 		if t.active() {
 			return 0 // the other router collects changes
 		}
 		return g.settle()
 	}
-	o.Lost = func(loss follow.Loss) { g.loop.post(ctx, func(l *loop) { l.roster.Interrupted() }); lost(loss) }
-	o.Regained = func() { g.loop.post(ctx, func(l *loop) { l.roster.Resumed() }); regained() }
+	o.OnLost = func(loss follow.Loss) { g.loop.post(ctx, func(l *loop) { l.roster.Interrupted() }); lost(loss) }
+	o.OnRegained = func() { g.loop.post(ctx, func(l *loop) { l.roster.Resumed() }); regained() }
 	return follow.Run(ctx, o)
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -133,7 +133,7 @@
 		if tc.version > 0 {
 			g.table.Store(&adopted{table: &route.Table{Spec: route.Spec{Version: tc.version}}})
 		}
-		_, news := l.contact.Members.Hear(&zinccovev1.Heartbeat{Incarnation: 1, Sequence: 1, ConfigVersion: 5, Host: &zinccovev1.HostInfo{
+		_, news := l.contact.Members.RecordHeartbeat(&zinccovev1.Heartbeat{Incarnation: 1, Sequence: 1, ConfigVersion: 5, Host: &zinccovev1.HostInfo{
 			Name: "b", Control: "127.0.0.1:1", Peer: "127.0.0.1:2",
 		}})
 		assert.Equal(t, news, member.Restarted)
--- a/gateway/handon.go
+++ b/gateway/handon.go
@@ -54,7 +54,7 @@
 	}
 	logs := make(tableLogs)
 	for _, table := range []string{wire.TableOperator, wire.TableTargets, wire.TableRouters} {
-		logs[table] = feed.NewLog(feed.Options[platform.Change]{Clock: g.clock, Pack: packRows, Most: most})
+		logs[table] = feed.NewLog(feed.Options[platform.Change]{Clock: g.clock, Encode: packRows, MaxBytes: most})
 	}
 	return logs
 }
@@ -62,7 +62,7 @@
 // setKeeping says whether the tables are kept for others.
 func (t tableLogs) setKeeping(keep bool) {
 	for _, l := range t {
-		l.SetKeeping(keep)
+		l.SetRetainRows(keep)
 	}
 }
 
@@ -108,15 +108,15 @@
 }
 
 // encodeTableNews returns the messages that tell news: one, or one for each page of a whole table.
-func encodeTableNews(n feed.News[platform.Change], now time.Time) []*zinccovev1.FollowTableResponse {
+func encodeTableNews(n feed.Changes[platform.Change], now time.Time) []*zinccovev1.FollowTableResponse {
 	begin := func() *zinccovev1.FollowTableResponse {
-		return &zinccovev1.FollowTableResponse{Version: n.Revision.Count, Era: n.Revision.Era, Lost: n.Lost, Whole: n.Whole, AgeMs: sinceMs(n.Answered, now)}
+		return &zinccovev1.FollowTableResponse{Version: n.Revision.Count, Era: n.Revision.Era, Lost: n.StoreLost, Whole: n.Complete, AgeMs: sinceMs(n.LastResponse, now)}
 	}
 	if len(n.Pages) == 0 {
 		msg := begin()
 		for _, r := range n.Rows {
 			row := encodeRow(r.Row)
-			row.AgeMs = sinceMs(r.At, now)
+			row.AgeMs = sinceMs(r.ReadAt, now)
 			msg.Rows = append(msg.Rows, row)
 		}
 		return []*zinccovev1.FollowTableResponse{msg}
--- a/gateway/hear.go
+++ b/gateway/hear.go
@@ -17,7 +17,7 @@
 
 // findCuts notes which data centres seem to be cut off.
 func (l *loop) findCuts() {
-	beats, silence := l.presence.Heard(), time.Duration(presence.SilenceOfDataCentre)
+	beats, silence := l.presence.LastSeen(), time.Duration(presence.DataCentreTimeout)
 	if !l.reporting() {
 		beats, silence = l.beatsHeard(), place.LeastSilence
 	}
@@ -34,8 +34,8 @@
 func (l *loop) beatsHeard() map[string]time.Time {
 	beats := make(map[string]time.Time)
 	for _, h := range l.contact.Members.Hosts() {
-		if h.Heard.After(beats[h.DataCentre]) {
-			beats[h.DataCentre] = h.Heard
+		if h.LastSeen.After(beats[h.DataCentre]) {
+			beats[h.DataCentre] = h.LastSeen
 		}
 	}
 	return beats
@@ -54,7 +54,7 @@
 
 // hear takes a heartbeat of another router.
 func (l *loop) hear(r contact.Received) {
-	host, news := l.contact.Hear(r)
+	host, news := l.contact.HandleHeartbeat(r)
 	switch news {
 	case member.Ignored:
 		return
@@ -93,14 +93,14 @@
 		l.gateway.metrics.Inc(metric.PeerErrors)
 		return
 	}
-	l.contact.Members.Learn(member.Address{Name: h.Name, DataCentre: h.DataCentre, Peer: addr})
+	l.contact.Members.Upsert(member.Address{Name: h.Name, DataCentre: h.DataCentre, Peer: addr})
 }
 
 // learnAddresses takes the entries of routers from the store.
 func (l *loop) learnAddresses(hosts []platform.Host) {
 	for _, h := range hosts {
 		if h.Peer.IsValid() {
-			l.contact.Members.Learn(member.Address{Name: h.Name, DataCentre: h.DataCentre, Peer: h.Peer})
+			l.contact.Members.Upsert(member.Address{Name: h.Name, DataCentre: h.DataCentre, Peer: h.Peer})
 		}
 	}
 }
--- a/gateway/large_test.go
+++ b/gateway/large_test.go
@@ -106,7 +106,7 @@
 			before := heapBytes()
 			l := newControl(b)
 			for i := range n {
-				l.contact.Members.Learn(member.Address{
+				l.contact.Members.Upsert(member.Address{
 					Name: fmt.Sprintf("front-%d", i), DataCentre: fmt.Sprintf("dc-%d", i%5), Peer: netip.MustParseAddrPort("127.0.0.1:9"),
 				})
 			}
--- a/gateway/leaders.go
+++ b/gateway/leaders.go
@@ -75,8 +75,8 @@
 	followers, before := 0, 0
 	for dc, hosts := range there {
 		names := namesOf(hosts)
-		most := feed.Leaders
-		if dc == self.DataCentre && rankOf(self.Host, names) < feed.Leaders {
+		most := feed.LeaderCount
+		if dc == self.DataCentre && rankOf(self.Host, names) < feed.LeaderCount {
 			most-- // this one is among them
 		}
 		for _, name := range names[:min(most, len(names))] {
@@ -112,7 +112,7 @@
 	g.leaders.Store(&leaders)
 	g.leads.Store(role.Leads)
 	g.serves.Store(role.Serves)
-	g.logs.setKeeping(role.Keeps && len(role.Cell) > 0)
+	g.logs.setKeeping(role.Retains && len(role.Cell) > 0)
 	l.role = role
 }
 
@@ -121,7 +121,7 @@
 	if h.Leaving {
 		return false
 	}
-	return h.Reachable || h.Heard.IsZero() && h.DataCentre != "" && now.Sub(l.contact.Started) < unheardFor
+	return h.Reachable || h.LastSeen.IsZero() && h.DataCentre != "" && now.Sub(l.contact.Started) < unheardFor
 }
 
 // controlOf returns the control address of a router. One that was not heard yet uses
--- a/gateway/leaders_test.go
+++ b/gateway/leaders_test.go
@@ -25,7 +25,7 @@
 	l := newLoop(g)
 	for dc := range dataCentres {
 		for i := range routers {
-			l.contact.Members.Learn(member.Address{
+			l.contact.Members.Upsert(member.Address{
 				Name: fmt.Sprintf("dc%d-%02d", dc, i), DataCentre: fmt.Sprint("dc", dc), Peer: netip.MustParseAddrPort("127.0.0.1:9"),
 			})
 		}
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -131,7 +131,7 @@
 		tasks:   make(chan func(*loop), inbox),
 		contact: contact.New(contact.Options{
 			Host: g.settings.Host, DataCentre: g.settings.DataCentre, Clock: g.clock, Log: g.log, Metrics: g.metrics,
-			Quarantine: g.quarantine, Silence: silence,
+			Quarantine: g.quarantine, FailureTimeout: silence,
 			Send: func(hb *zinccovev1.Heartbeat, to ...netip.AddrPort) (size, sent int, err error) {
 				return g.transport.Send(hb, to...)
 			},
@@ -195,7 +195,7 @@
 		case <-l.rollouts.due:
 			l.tellJudged()
 		case <-l.gateway.quarantine.Changed():
-			l.contact.TellSuspects(l.destinations()...)
+			l.contact.SendSuspects(l.destinations()...)
 		case <-tick.Chan():
 			l.tick(ctx)
 			if reporting := l.reporting(); reporting != l.slow {
--- a/gateway/news.go
+++ b/gateway/news.go
@@ -19,5 +19,5 @@
 
 // header begins a heartbeat.
 func (l *loop) header() *zinccovev1.Heartbeat {
-	return l.contact.Header(l.version(), l.gateway.stopping.Load())
+	return l.contact.NewHeartbeat(l.version(), l.gateway.stopping.Load())
 }
--- a/gateway/owners.go
+++ b/gateway/owners.go
@@ -25,7 +25,7 @@
 	l.routers = routers
 	table := owner.New(routers)
 	g.owners.Store(table)
-	if table.SameFor(before, g.settings.DataCentre) {
+	if table.SameOwners(before, g.settings.DataCentre) {
 		return
 	}
 	owned := make(map[place.Hash]bool)
@@ -44,7 +44,7 @@
 	if t.DataCentre != l.gateway.settings.DataCentre && table.HasRouter(t.DataCentre) {
 		return false
 	}
-	first, _ := table.Of(t)
+	first, _ := table.Owners(t)
 	return first != nil && first.Name == l.gateway.settings.Host
 }
 
--- a/gateway/reports.go
+++ b/gateway/reports.go
@@ -31,7 +31,7 @@
 
 // exchange sends the heartbeats and reports that are due, and makes known what came.
 func (l *loop) exchange(now time.Time) {
-	l.contact.Members.SetTimeout(presence.StaleAfter)
+	l.contact.Members.SetTimeout(presence.ReportTTL)
 	l.noteMany()
 	if l.reported || l.ticks%leadEvery == 0 {
 		l.reported = false
@@ -46,7 +46,7 @@
 	}
 	if withTotals && len(messages) > 0 {
 		l.lastTotals = now
-		l.totals.drop(now.Add(-presence.StaleAfter))
+		l.totals.drop(now.Add(-presence.ReportTTL))
 	}
 }
 
@@ -117,9 +117,9 @@
 		if h.DataCentre != l.gateway.settings.DataCentre {
 			continue
 		}
-		last := h.Heard
-		if last.Before(h.Learned) {
-			last = h.Learned
+		last := h.LastSeen
+		if last.Before(h.Discovered) {
+			last = h.Discovered
 		}
 		switch {
 		case h.Reachable:
@@ -139,10 +139,10 @@
 	g := l.gateway
 	hb := l.header()
 	hb.Host = l.contact.Identity()
-	hb.Report = &zinccovev1.Report{Scope: scopes[m.Scope]}
-	hb.Report.Heard = encodeHeard(m.Heard, l.gateway.clock.Now())
-	hb.Rollouts = l.rolloutsOf(m.Scope)
-	if m.Scope == presence.Beat {
+	hb.Report = &zinccovev1.Report{Scope: scopes[m.Kind]}
+	hb.Report.Heard = encodeHeard(m.LastSeen, l.gateway.clock.Now())
+	hb.Rollouts = l.rolloutsOf(m.Kind)
+	if m.Kind == presence.Heartbeat {
 		encodeUses(hb, g.placer)
 	} else {
 		hb.Evacuations = l.evacuationsToTell()
@@ -177,7 +177,7 @@
 		}
 		at.Report.Cells = append(at.Report.Cells, cell)
 	}
-	if totals, ok := l.totalsOf(m.Scope, now); ok && withTotals {
+	if totals, ok := l.totalsOf(m.Kind, now); ok && withTotals {
 		at := next()
 		at.Report.Totals = fitTotals(totals, now, peer.MaxBody-proto.Size(at)-itemOverhead)
 	}
@@ -203,18 +203,18 @@
 	mostLeaving = 40
 )
 
-var scopes = map[presence.Scope]zinccovev1.Report_Scope{
-	presence.Beat: zinccovev1.Report_SCOPE_BEAT, presence.Up: zinccovev1.Report_SCOPE_UP,
-	presence.Across: zinccovev1.Report_SCOPE_ACROSS, presence.Down: zinccovev1.Report_SCOPE_DOWN,
+var scopes = map[presence.Kind]zinccovev1.Report_Scope{
+	presence.Heartbeat: zinccovev1.Report_SCOPE_BEAT, presence.CellReport: zinccovev1.Report_SCOPE_UP,
+	presence.DataCentreReport: zinccovev1.Report_SCOPE_ACROSS, presence.FleetReport: zinccovev1.Report_SCOPE_DOWN,
 }
 
-func decodeScope(s zinccovev1.Report_Scope) presence.Scope {
+func decodeScope(s zinccovev1.Report_Scope) presence.Kind {
 	for scope, code := range scopes {
 		if code == s {
 			return scope
 		}
 	}
-	return presence.Beat
+	return presence.Heartbeat
 }
 
 func encodeHeard(heard map[string]time.Time, now time.Time) []*zinccovev1.DataCentreHeard {
@@ -235,8 +235,8 @@
 
 func encodeCell(r presence.Report, now time.Time) *zinccovev1.CellReport {
 	return &zinccovev1.CellReport{
-		DataCentre: r.Cell.DataCentre, Number: uint32(r.Cell.Number), Of: uint32(r.Cell.Of), AgeMs: sinceMs(r.At, now),
-		Gone: r.Gone[:min(len(r.Gone), mostGone)], Leaving: r.Leaving[:min(len(r.Leaving), mostLeaving)],
+		DataCentre: r.Cell.DataCentre, Number: uint32(r.Cell.Number), Of: uint32(r.Cell.Cells), AgeMs: sinceMs(r.At, now),
+		Gone: r.Failed[:min(len(r.Failed), mostGone)], Leaving: r.Leaving[:min(len(r.Leaving), mostLeaving)],
 	}
 }
 
@@ -247,8 +247,8 @@
 			continue
 		}
 		list = append(list, presence.Report{
-			Cell: presence.Cell{DataCentre: c.DataCentre, Number: int(c.Number), Of: int(c.Of)},
-			At:   now.Add(-time.Duration(c.AgeMs) * time.Millisecond), Gone: c.Gone, Leaving: c.Leaving,
+			Cell: presence.Cell{DataCentre: c.DataCentre, Number: int(c.Number), Cells: int(c.Of)},
+			At:   now.Add(-time.Duration(c.AgeMs) * time.Millisecond), Failed: c.Gone, Leaving: c.Leaving,
 		})
 	}
 	return list
@@ -266,8 +266,8 @@
 		return
 	}
 	l.reported = l.reported || len(r.Cells) > 0
-	m := presence.Message{Scope: scope, Reports: decodeCells(r.Cells, now), Heard: decodeHeard(r.Heard, now)}
-	if reply := l.presence.Take(host, m); reply != nil {
+	m := presence.Message{Kind: scope, Reports: decodeCells(r.Cells, now), LastSeen: decodeHeard(r.Heard, now)}
+	if reply := l.presence.Receive(host, m); reply != nil {
 		l.sendMessage(*reply, false)
 	}
 }
--- a/gateway/reports_test.go
+++ b/gateway/reports_test.go
@@ -21,11 +21,11 @@
 func TestReportsFitDatagrams(t *testing.T) {
 	l := newControl(t)
 	now := l.gateway.clock.Now()
-	m := presence.Message{Scope: presence.Down, To: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}}
+	m := presence.Message{Kind: presence.FleetReport, To: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:9")}}
 	for i := range 40 {
-		r := presence.Report{Cell: presence.Cell{DataCentre: fmt.Sprint("data-centre-", i/8), Number: i % 8, Of: 8}, At: now.Add(-time.Second)}
+		r := presence.Report{Cell: presence.Cell{DataCentre: fmt.Sprint("data-centre-", i/8), Number: i % 8, Cells: 8}, At: now.Add(-time.Second)}
 		for key := range uint64(300) {
-			r.Gone = append(r.Gone, key<<32)
+			r.Failed = append(r.Failed, key<<32)
 			r.Leaving = append(r.Leaving, key<<33)
 		}
 		m.Reports = append(m.Reports, r)
@@ -40,7 +40,7 @@
 	}
 	hb := l.header()
 	hb.Host = l.contact.Identity()
-	hb.Report = &zinccovev1.Report{Scope: scopes[m.Scope]}
+	hb.Report = &zinccovev1.Report{Scope: scopes[m.Kind]}
 	hb.LeavingTargets = l.leavingTargets()
 	parts := l.reportParts(hb, m, true)
 	cells, told := 0, 0
@@ -84,12 +84,12 @@
 		}
 		cells++
 		for _, name := range names[:3] {
-			l.hearTotals(l.host(name), presence.Up, sums(100))
+			l.hearTotals(l.host(name), presence.CellReport, sums(100))
 		}
 	}
 	assert.Assert(t, cells >= 2)
 	for _, name := range []string{"b1", "b2"} {
-		l.hearTotals(l.host(name), presence.Across, sums(1000))
+		l.hearTotals(l.host(name), presence.DataCentreReport, sums(1000))
 	}
 	assert.Equal(t, l.dataCentreTotals(clock.Now()).Uses[customer].Asked, 100*cells)
 	assert.Equal(t, l.fleetTotals(clock.Now()).Uses[customer].Asked, 100*cells+1000)
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -199,21 +199,21 @@
 
 // rolloutsOf returns the counts that go with messages of a scope: this router's own to its
 // relays, those of the cell up, those of the data centre across. What comes down is the state.
-func (l *loop) rolloutsOf(scope presence.Scope) []*zinccovev1.RolloutCounts {
+func (l *loop) rolloutsOf(scope presence.Kind) []*zinccovev1.RolloutCounts {
 	if !l.gateway.rollouts.Active() {
 		return nil
 	}
 	var counts []rollout.Counts
 	switch scope {
-	case presence.Beat, presence.Down:
+	case presence.Heartbeat, presence.FleetReport:
 		counts = l.gateway.rollouts.Counts(nil)
-	case presence.Up:
+	case presence.CellReport:
 		counts = l.gateway.rollouts.Counts(isRouter)
-	case presence.Across:
+	case presence.DataCentreReport:
 		own := dataCentreName(l.gateway.settings.DataCentre)
 		counts = l.gateway.rollouts.Counts(func(from string) bool { return isRouter(from) || isCell(from, own) })
 	}
-	if scope == presence.Down {
+	if scope == presence.FleetReport {
 		for i := range counts {
 			counts[i].Tallies, counts[i].OldRunning = nil, 0
 		}
@@ -230,10 +230,10 @@
 	from, known := host, false
 	if hb.Report != nil {
 		switch decodeScope(hb.Report.Scope) {
-		case presence.Up:
+		case presence.CellReport:
 			g := l.groupOf(host)
 			from, known = dataCentreName(g.dataCentre)+g.cell, g == l.ownGroup()
-		case presence.Across:
+		case presence.DataCentreReport:
 			from = dataCentreName(dataCentre)
 		}
 	}
--- a/gateway/rollouts_test.go
+++ b/gateway/rollouts_test.go
@@ -64,7 +64,7 @@
 		return l
 	}
 	sum := func(l *loop) rollout.Tally { return l.gateway.rollouts.Verdicts()[0].New }
-	tell := func(from, to *loop, host, dataCentre string, scope presence.Scope) {
+	tell := func(from, to *loop, host, dataCentre string, scope presence.Kind) {
 		hb := crosses(t, &zinccovev1.Heartbeat{Rollouts: from.rolloutsOf(scope), Report: &zinccovev1.Report{Scope: scopes[scope]}})
 		to.hearRollouts(host, dataCentre, hb)
 	}
@@ -85,7 +85,7 @@
 		noteAnswers(member, 3, 0)
 		for _, relay := range relays {
 			for range 2 {
-				tell(member, relay, fmt.Sprint("member", i), "dc-0", presence.Beat)
+				tell(member, relay, fmt.Sprint("member", i), "dc-0", presence.Heartbeat)
 			}
 		}
 	}
@@ -93,22 +93,22 @@
 		assert.Equal(t, sum(relay).Answers, 15)
 	}
 	for i, relay := range relays {
-		tell(relay, leader, names[i], "dc-0", presence.Up)
+		tell(relay, leader, names[i], "dc-0", presence.CellReport)
 	}
 	for i := range 200 {
 		if name := fmt.Sprint("r", i); leader.groupOf(name) == leader.ownGroup() {
-			tell(relays[0], leader, name, "dc-0", presence.Up) // a relay of its own cell
+			tell(relays[0], leader, name, "dc-0", presence.CellReport) // a relay of its own cell
 		}
 	}
 	assert.Equal(t, sum(leader).Answers, 15)
 	for range 3 {
-		tell(leader, elsewhere, "leader", "dc-0", presence.Across)
+		tell(leader, elsewhere, "leader", "dc-0", presence.DataCentreReport)
 	}
 	assert.Equal(t, sum(elsewhere).Answers, 15)
 
 	noteAnswers(elsewhere, 0, 20)
 	assert.Equal(t, elsewhere.gateway.rollouts.Verdicts()[0].State, rollout.RolledBack)
-	tell(elsewhere, relays[0], "leader-elsewhere", "dc-1", presence.Down)
+	tell(elsewhere, relays[0], "leader-elsewhere", "dc-1", presence.FleetReport)
 	assert.Equal(t, relays[0].gateway.rollouts.Choose("m", 0), rollout.Choice{Not: "v2", Strict: true})
 	assert.Equal(t, sum(relays[0]).Answers, 15, "what comes down is the state alone")
 }
--- a/gateway/targets_test.go
+++ b/gateway/targets_test.go
@@ -47,14 +47,14 @@
 		l.takeTargets(platform.Batch{Revision: changes[0].Revision, Changes: append(changes, entry("other", 1, 0))}, true)
 	},
 	"handed on": func(l *loop, changes ...platform.Change) {
-		log := feed.NewLog(feed.Options[platform.Change]{Clock: l.gateway.clock, Pack: packRows, Most: usualLog})
-		log.SetKeeping(true)
+		log := feed.NewLog(feed.Options[platform.Change]{Clock: l.gateway.clock, Encode: packRows, MaxBytes: usualLog})
+		log.SetRetainRows(true)
 		log.Reset(changes[0].Revision, rowsOf(platform.Batch{Changes: append(changes, entry("other", 1, 0))})...)
 		news, _, err := log.Since(revision.Revision{})
 		if err == nil {
 			for _, msg := range encodeTableNews(news, l.gateway.clock.Now()) {
 				if b, err := decodeTableNews(msg); err == nil {
-					l.takeTargets(b, news.Whole)
+					l.takeTargets(b, news.Complete)
 				}
 			}
 		}
--- a/gateway/through.go
+++ b/gateway/through.go
@@ -190,7 +190,7 @@
 
 // askEvery is the least time between calls of this router to the store.
 func (t *through) askEvery() time.Duration {
-	if t.gateway.ownRank.Load() < 2*feed.Leaders {
+	if t.gateway.ownRank.Load() < 2*feed.LeaderCount {
 		return askStoreEvery
 	}
 	return seldomAskEvery
--- a/gateway/totals.go
+++ b/gateway/totals.go
@@ -49,15 +49,15 @@
 
 // totalsOf returns the sums that go with messages of a scope: those of the own cell up, those
 // of the data centre across, those of the fleet down.
-func (l *loop) totalsOf(scope presence.Scope, now time.Time) (t place.Totals, ok bool) {
+func (l *loop) totalsOf(scope presence.Kind, now time.Time) (t place.Totals, ok bool) {
 	switch {
-	case scope == presence.Up:
+	case scope == presence.CellReport:
 		t, ok = l.gateway.placer.NearTotals(now.Add(-totalsAge)), true
-	case scope == presence.Across:
+	case scope == presence.DataCentreReport:
 		t, ok = l.dataCentreTotals(now), true
-	case scope == presence.Down && l.role.Leads:
+	case scope == presence.FleetReport && l.role.Leads:
 		t, ok = l.fleetTotals(now), true
-	case scope == presence.Down:
+	case scope == presence.FleetReport:
 		t, ok = l.totals.latest(group{})
 	}
 	return t, ok
@@ -99,13 +99,13 @@
 }
 
 // hearTotals takes the sums of another router.
-func (l *loop) hearTotals(host *member.Host, scope presence.Scope, t place.Totals) {
+func (l *loop) hearTotals(host *member.Host, scope presence.Kind, t place.Totals) {
 	switch scope {
-	case presence.Up:
+	case presence.CellReport:
 		l.totals.put(l.groupOf(host.Name), host.Name, t)
-	case presence.Across:
+	case presence.DataCentreReport:
 		l.totals.put(group{dataCentre: host.DataCentre}, host.Name, t)
-	case presence.Down:
+	case presence.FleetReport:
 		l.totals.put(group{}, host.Name, t)
 		l.gateway.placer.SetTotals(t)
 	}
--- a/member/member.go
+++ b/member/member.go
@@ -11,8 +11,8 @@
 // # Usage
 //
 //	t := member.New(member.Options{Self: "entry-1", Clock: clock, Timeout: 3 * time.Second})
-//	t.Learn(member.Address{...})                // platform, configuration, seeds
-//	host, news := t.Hear(hb)                    // each heartbeat
+//	t.Upsert(member.Address{...})               // platform, configuration, seeds
+//	host, outcome := t.RecordHeartbeat(hb)      // each heartbeat
 //	gone := t.Expire()                          // each tick
 //	for _, h := range t.Hosts() { ... }
 //
@@ -59,13 +59,13 @@
 	ConfigVersion uint64
 	Reachable     bool
 	Leaving       bool
-	// Heard is when the host was last known to be there, Direct when the last heartbeat
-	// arrived here, Told as of when others last said whether it is there, Learned when it
+	// LastSeen is when the host was last known to be there, LastHeartbeat when the last heartbeat
+	// arrived here, LastReport as of when others last said whether it is there, Discovered when it
 	// became known.
-	Heard   time.Time
-	Direct  time.Time
-	Told    time.Time
-	Learned time.Time
+	LastSeen      time.Time
+	LastHeartbeat time.Time
+	LastReport    time.Time
+	Discovered    time.Time
 }
 
 // Status is the host as operators see it.
@@ -73,19 +73,19 @@
 	s := &zinccovev1.RouterStatus{
 		Host: h.Name, DataCentre: h.DataCentre, ConfigVersion: h.ConfigVersion, Reachable: h.Reachable, Leaving: h.Leaving,
 	}
-	if !h.Heard.IsZero() {
-		s.SilentMs = now.Sub(h.Heard).Milliseconds()
+	if !h.LastSeen.IsZero() {
+		s.SilentMs = now.Sub(h.LastSeen).Milliseconds()
 	}
 	return s
 }
 
-// News is what a heartbeat said about its sender.
-type News int
+// Outcome is what a heartbeat said about its sender.
+type Outcome int
 
 // The kinds of news.
 const (
 	// Ignored heartbeats are duplicates, late or of an unknown or replaced run.
-	Ignored News = iota
+	Ignored Outcome = iota
 	// Current heartbeats are of the run known so far.
 	Current
 	// Restarted heartbeats are the first of a new run.
@@ -117,9 +117,9 @@
 	Leaving    bool
 }
 
-// Learn adds a host or updates its address. Once a host is known to be
+// Upsert adds a host or updates its address. Once a host is known to be
 // leaving it stays so until a new run is heard.
-func (t *Table) Learn(a Address) {
+func (t *Table) Upsert(a Address) {
 	if a.Name == t.options.Self {
 		return
 	}
@@ -133,9 +133,9 @@
 	h.Leaving = h.Leaving || a.Leaving
 }
 
-// Hear takes a heartbeat and returns its sender and what it says. Heartbeats
+// RecordHeartbeat takes a heartbeat and returns its sender and what it says. Heartbeats
 // that do not say who the sender is are ignored until one does.
-func (t *Table) Hear(hb *zinccovev1.Heartbeat) (*Host, News) {
+func (t *Table) RecordHeartbeat(hb *zinccovev1.Heartbeat) (*Host, Outcome) {
 	h := t.runs[hb.Incarnation]
 	news := Current
 	if h == nil {
@@ -149,23 +149,23 @@
 	h.Sequence = hb.Sequence
 	h.ConfigVersion = max(h.ConfigVersion, hb.ConfigVersion)
 	h.Leaving = h.Leaving || hb.Leaving
-	h.Heard = t.options.Clock.Now()
-	h.Direct = h.Heard
+	h.LastSeen = t.options.Clock.Now()
+	h.LastHeartbeat = h.LastSeen
 	h.Reachable = true
 	return h, news
 }
 
-// Tell notes whether a host is there and leaving as others said at a time, and reports
+// RecordReport notes whether a host is there and leaving as others said at a time, and reports
 // whether that is news. What is older than what is known counts nothing.
-func (t *Table) Tell(h *Host, there, leaving bool, at time.Time) (news bool) {
-	if !h.Told.Before(at) || !there && h.Direct.After(at) {
+func (t *Table) RecordReport(h *Host, there, leaving bool, at time.Time) (news bool) {
+	if !h.LastReport.Before(at) || !there && h.LastHeartbeat.After(at) {
 		return false
 	}
-	h.Told = at
-	if there && h.Heard.Before(at) {
-		h.Heard = at
+	h.LastReport = at
+	if there && h.LastSeen.Before(at) {
+		h.LastSeen = at
 	}
-	if h.Direct.Before(at) {
+	if h.LastHeartbeat.Before(at) {
 		news = h.Leaving != leaving
 		h.Leaving = leaving
 	}
@@ -222,7 +222,7 @@
 	}
 	var gone []*Host
 	for _, h := range t.hosts {
-		if h.Reachable && now.Sub(h.Heard) > t.options.Timeout {
+		if h.Reachable && now.Sub(h.LastSeen) > t.options.Timeout {
 			h.Reachable = false
 			gone = append(gone, h)
 		}
@@ -236,8 +236,8 @@
 func (t *Table) excuse(pause time.Duration) {
 	for _, h := range t.hosts {
 		if h.Reachable {
-			h.Heard = h.Heard.Add(pause)
-			h.Direct = h.Direct.Add(pause)
+			h.LastSeen = h.LastSeen.Add(pause)
+			h.LastHeartbeat = h.LastHeartbeat.Add(pause)
 		}
 	}
 }
@@ -248,7 +248,7 @@
 func (t *Table) Forget(before time.Time) []*Host {
 	var gone []*Host
 	for name, h := range t.hosts {
-		if !h.Reachable && !h.Heard.IsZero() && h.Heard.Before(before) {
+		if !h.Reachable && !h.LastSeen.IsZero() && h.LastSeen.Before(before) {
 			delete(t.hosts, name)
 			delete(t.runs, h.Incarnation)
 			t.sorted = nil
@@ -275,7 +275,7 @@
 
 // add makes h a member.
 func (t *Table) add(h *Host) *Host {
-	h.Key, h.Learned = xxhash.Sum64String(h.Name), t.options.Clock.Now()
+	h.Key, h.Discovered = xxhash.Sum64String(h.Name), t.options.Clock.Now()
 	t.hosts[h.Name] = h
 	t.sorted = nil
 	return h
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -28,7 +28,7 @@
 	tests := []struct {
 		name  string
 		beats []*zinccovev1.Heartbeat
-		want  News
+		want  Outcome
 	}{
 		{"first", []*zinccovev1.Heartbeat{beat("a", 1, 1, 10)}, Restarted},
 		{"next", []*zinccovev1.Heartbeat{beat("a", 1, 1, 10), beat("a", 1, 2, 10)}, Current},
@@ -43,9 +43,9 @@
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			table, _ := newTable()
-			var got News
+			var got Outcome
 			for _, hb := range tc.beats {
-				_, got = table.Hear(hb)
+				_, got = table.RecordHeartbeat(hb)
 			}
 			assert.Equal(t, got, tc.want)
 		})
@@ -54,18 +54,18 @@
 
 func TestRestartWithAnEarlierClockIsTakenAfterSilence(t *testing.T) {
 	table, clock := newTable()
-	table.Hear(beat("a", 2, 1, 20))
+	table.RecordHeartbeat(beat("a", 2, 1, 20))
 	for range 5 {
 		clock.Advance(timeout / 4)
 		table.Expire()
 	}
-	_, news := table.Hear(beat("a", 1, 1, 10))
+	_, news := table.RecordHeartbeat(beat("a", 1, 1, 10))
 	assert.Equal(t, news, Restarted)
 }
 
 func TestSilentHostExpires(t *testing.T) {
 	table, clock := newTable()
-	table.Hear(beat("a", 1, 1, 10))
+	table.RecordHeartbeat(beat("a", 1, 1, 10))
 	var gone []*Host
 	for range 5 {
 		clock.Advance(timeout / 4)
@@ -77,7 +77,7 @@
 
 func TestOwnPauseIsNotSilenceOfOthers(t *testing.T) {
 	table, clock := newTable()
-	table.Hear(beat("a", 1, 1, 10))
+	table.RecordHeartbeat(beat("a", 1, 1, 10))
 	clock.Advance(time.Hour)
 	assert.Equal(t, len(table.Expire()), 0)
 	clock.Advance(timeout / 4)
@@ -87,19 +87,19 @@
 
 func TestEarliestLeavingWins(t *testing.T) {
 	table, _ := newTable()
-	table.Hear(beat("a", 1, 1, 10))
-	table.Learn(Address{Name: "a", Leaving: true})
-	table.Learn(Address{Name: "a"})
-	table.Hear(beat("a", 1, 2, 10))
+	table.RecordHeartbeat(beat("a", 1, 1, 10))
+	table.Upsert(Address{Name: "a", Leaving: true})
+	table.Upsert(Address{Name: "a"})
+	table.RecordHeartbeat(beat("a", 1, 2, 10))
 	assert.Assert(t, table.Hosts()[0].Leaving)
-	table.Hear(beat("a", 2, 1, 20))
+	table.RecordHeartbeat(beat("a", 2, 1, 20))
 	assert.Assert(t, !table.Hosts()[0].Leaving)
 }
 
 func TestForgetRemovesOnlyLongSilent(t *testing.T) {
 	table, clock := newTable()
-	table.Learn(Address{Name: "never", Peer: netip.MustParseAddrPort("127.0.0.1:9")})
-	table.Hear(beat("a", 1, 1, 10))
+	table.Upsert(Address{Name: "never", Peer: netip.MustParseAddrPort("127.0.0.1:9")})
+	table.RecordHeartbeat(beat("a", 1, 1, 10))
 	for range 5 {
 		clock.Advance(timeout / 4)
 		table.Expire()
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -69,18 +69,18 @@
 // answered for by any router.
 func (t *Table) HasRouter(dataCentre string) bool { return len(t.byDataCentre[dataCentre]) > 0 }
 
-// SameFor reports whether the targets of a data centre have the same routers in another table,
+// SameOwners reports whether the targets of a data centre have the same routers in another table,
 // and whether the same data centres have none.
-func (t *Table) SameFor(o *Table, dataCentre string) bool {
+func (t *Table) SameOwners(o *Table, dataCentre string) bool {
 	if len(t.byDataCentre) != len(o.byDataCentre) || len(t.byDataCentre[dataCentre]) == 0 {
 		return false
 	}
 	return slices.EqualFunc(t.byDataCentre[dataCentre], o.byDataCentre[dataCentre], func(a, b candidate) bool { return a.seed == b.seed })
 }
 
-// Of returns the router that answers for a target and the one that does if the first
+// Owners returns the router that answers for a target and the one that does if the first
 // is silent; nil if there is none.
-func (t *Table) Of(target Target) (first, second *Router) {
+func (t *Table) Owners(target Target) (first, second *Router) {
 	among := t.byDataCentre[target.DataCentre]
 	if len(among) == 0 {
 		among = t.all
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -31,13 +31,13 @@
 	owned := make(map[string]int)
 	most := 0
 	for _, x := range targets {
-		first, _ := table.Of(x)
+		first, _ := table.Owners(x)
 		owned[first.Name]++
 		most = max(most, owned[first.Name])
 	}
 	assert.Assert(t, most <= 6, "one router answers for %d of 320 targets", most)
 	for _, x := range targets {
-		first, second := table.Of(x)
+		first, second := table.Owners(x)
 		assert.Equal(t, first.DataCentre, x.DataCentre)
 		assert.Equal(t, second.DataCentre, x.DataCentre)
 		assert.Assert(t, first != second)
@@ -52,8 +52,8 @@
 	lost := routers[17].Name
 	after := New(append(append([]Router{}, routers[:17]...), routers[18:]...))
 	for _, x := range targets {
-		first, second := before.Of(x)
-		now, _ := after.Of(x)
+		first, second := before.Owners(x)
+		now, _ := after.Owners(x)
 		if first.Name == lost {
 			assert.Equal(t, now.Name, second.Name)
 		} else {
@@ -65,9 +65,9 @@
 func TestDataCentreWithoutRoutersIsAnsweredForElsewhere(t *testing.T) {
 	targets, routers := fleet(3)
 	table := New(routers[:3])
-	first, _ := table.Of(targets[319])
+	first, _ := table.Owners(targets[319])
 	assert.Equal(t, first.DataCentre, "dc0")
-	first, second := New(nil).Of(targets[0])
+	first, second := New(nil).Owners(targets[0])
 	assert.Assert(t, first == nil && second == nil)
 }
 
@@ -78,7 +78,7 @@
 		table := New(routers)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				table.Of(targets[0])
+				table.Owners(targets[0])
 			}
 		})
 	}
--- a/presence/addressees.go
+++ b/presence/addressees.go
@@ -26,7 +26,7 @@
 
 // leaders returns the leaders of a data centre, as far as this router knows, but itself.
 func (n *Node) leaders(dataCentre string) []*member.Host {
-	left := feed.Leaders
+	left := feed.LeaderCount
 	if dataCentre == n.options.DataCentre && n.role.Leads {
 		left--
 	}
@@ -41,7 +41,7 @@
 }
 
 // here reports whether a router may be there: it is not known to be gone.
-func here(h *member.Host) bool { return h.Reachable || h.Heard.IsZero() && h.Told.IsZero() }
+func here(h *member.Host) bool { return h.Reachable || h.LastSeen.IsZero() && h.LastReport.IsZero() }
 
 // search returns routers of a data centre that may know who leads there.
 func (n *Node) search(dataCentre string) []*member.Host {
@@ -51,7 +51,7 @@
 			of = append(of, h)
 		}
 	}
-	list := slices.Clone(of[:min(feed.Leaders, len(of))])
+	list := slices.Clone(of[:min(feed.LeaderCount, len(of))])
 	for range min(searched, len(of)) {
 		list = append(list, of[n.options.Random.IntN(len(of))])
 	}
@@ -64,7 +64,7 @@
 	own := n.cell()
 	cells := make(map[int][]string)
 	names := []string{n.options.Host}
-	silent := n.board.reports[own][n.options.Host].Gone // before the others agree
+	silent := n.board.reports[own][n.options.Host].Failed // before the others agree
 	for _, h := range n.options.Members.Hosts() {
 		if h.DataCentre == own.DataCentre && here(h) && !has(silent, h.Key) {
 			names = append(names, h.Name)
@@ -72,20 +72,20 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		number := feed.CellOf(name, own.Of)
+		number := feed.CellOf(name, own.Cells)
 		cells[number] = append(cells[number], name)
 	}
 	list := n.share(cells[own.Number])
 	if n.role.Leads {
-		for number := range own.Of {
+		for number := range own.Cells {
 			list = append(list, relaysOf(cells[number])...)
 		}
 	}
-	leaders := names[:min(feed.Leaders, len(names))]
+	leaders := names[:min(feed.LeaderCount, len(names))]
 	return n.hosts(slices.DeleteFunc(list, func(name string) bool { return slices.Contains(leaders, name) }))
 }
 
-func relaysOf(cell []string) []string { return cell[:min(feed.Leaders, len(cell))] }
+func relaysOf(cell []string) []string { return cell[:min(feed.LeaderCount, len(cell))] }
 
 // share returns the routers of a cell that this one reports to: its relays share those that
 // are none. For a while after one was lost each reports to all, until the next one knows
@@ -101,7 +101,7 @@
 		return nil
 	}
 	others := cell[len(relays):]
-	if now.Sub(n.relaysSince) < StaleAfter {
+	if now.Sub(n.relaysSince) < ReportTTL {
 		return others
 	}
 	var names []string
--- a/presence/board.go
+++ b/presence/board.go
@@ -9,8 +9,8 @@
 
 // Cell names a cell of a data centre: the routers whose names hash to a number among so many.
 type Cell struct {
-	DataCentre string
-	Number, Of int
+	DataCentre    string
+	Number, Cells int
 }
 
 // Report is what a router says of a cell. All of its routers are there but those that are
@@ -19,8 +19,8 @@
 	Cell Cell
 	// At is when they were looked at.
 	At time.Time
-	// Gone and Leaving are the keys of routers, in order.
-	Gone, Leaving []uint64
+	// Failed and Leaving are the keys of routers, in order.
+	Failed, Leaving []uint64
 }
 
 // board keeps the latest reports of all cells by reporter.
@@ -68,9 +68,9 @@
 		case sum.At.Sub(r.At) >= togetherWithin:
 			continue
 		case first:
-			sum.Gone = r.Gone
+			sum.Failed = r.Failed
 		default:
-			sum.Gone = common(sum.Gone, r.Gone)
+			sum.Failed = common(sum.Failed, r.Failed)
 		}
 		first = false
 		sum.Leaving = append(sum.Leaving, r.Leaving...)
@@ -92,7 +92,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b Report) int {
-		return cmp.Or(cmp.Compare(a.Cell.DataCentre, b.Cell.DataCentre), cmp.Compare(a.Cell.Of, b.Cell.Of), cmp.Compare(a.Cell.Number, b.Cell.Number))
+		return cmp.Or(cmp.Compare(a.Cell.DataCentre, b.Cell.DataCentre), cmp.Compare(a.Cell.Cells, b.Cell.Cells), cmp.Compare(a.Cell.Number, b.Cell.Number))
 	})
 	return list
 }
--- a/presence/presence.go
+++ b/presence/presence.go
@@ -22,13 +22,13 @@
 //	n := presence.New(presence.Options{Host: name, DataCentre: dc, Clock: clock, Members: table, Random: random})
 //	n.SetRole(feed.RoleOf(...))
 //	for _, m := range n.Due() { ... }  // on every tick: what to send to whom
-//	reply := n.Take(host, message) // what came from a router
+//	reply := n.Receive(host, message) // what came from a router
 //	changed := n.Apply()               // on every tick: makes it known to Members
 //
 // # Limits
 //
 // A router that cannot be reached by its relays is taken for gone by all, also by those that
-// could reach it. A data centre from which no reports come is gone after StaleAfter.
+// could reach it. A data centre from which no reports come is gone after ReportTTL.
 package presence
 
 import (
@@ -54,14 +54,14 @@
 	pushAfter = 100 * time.Millisecond
 	// silentAfter is the time without heartbeats or reports after which a router is gone.
 	silentAfter = 5 * beatEvery
-	// SilenceOfDataCentre is the time after which a data centre seems cut off from which
+	// DataCentreTimeout is the time after which a data centre seems cut off from which
 	// nothing was heard: word of its leaders takes two reports more than one of them, and one
 	// may be lost.
-	SilenceOfDataCentre = 4 * beatEvery
+	DataCentreTimeout = 4 * beatEvery
 	// togetherWithin is the time within which reports count together.
 	togetherWithin = 2 * beatEvery
-	// StaleAfter is the time after which reports say nothing any more.
-	StaleAfter = 13 * beatEvery
+	// ReportTTL is the time after which reports say nothing any more.
+	ReportTTL = 13 * beatEvery
 	// searched is the number of routers, drawn by chance, to which a leader turns in a data
 	// centre from which nothing comes.
 	searched = 2
@@ -69,28 +69,28 @@
 	mostReplies = 16
 )
 
-// Scope says on which way a message is, and so what its sums are of.
-type Scope int
+// Kind says on which way a message is, and so what its sums are of.
+type Kind int
 
 // The scopes.
 const (
-	// Beat is a heartbeat to the relays of the own cell.
-	Beat Scope = iota
-	// Up is a report of a cell to the leaders of its data centre.
-	Up
-	// Across is a report of a data centre to the leaders of others.
-	Across
-	// Down is a report of the whole fleet to those who follow.
-	Down
+	// Heartbeat is a heartbeat to the relays of the own cell.
+	Heartbeat Kind = iota
+	// CellReport is a report of a cell to the leaders of its data centre.
+	CellReport
+	// DataCentreReport is a report of a data centre to the leaders of others.
+	DataCentreReport
+	// FleetReport is a report of the whole fleet to those who follow.
+	FleetReport
 )
 
 // Message is to be sent to some routers.
 type Message struct {
-	Scope   Scope
+	Kind    Kind
 	To      []netip.AddrPort
 	Reports []Report
-	// Heard is when a router of each data centre was last heard; in reports down only.
-	Heard map[string]time.Time
+	// LastSeen is when a router of each data centre was last heard; in reports down only.
+	LastSeen map[string]time.Time
 }
 
 // Options configure a Node. All are required.
@@ -125,14 +125,14 @@
 	changed    bool
 	said       []Report
 	replies    int
-	// heard is when a router of each data centre was last heard, by this router or by those
+	// lastSeen is when a router of each data centre was last lastSeen, by this router or by those
 	// that report to it.
-	heard map[string]time.Time
+	lastSeen map[string]time.Time
 }
 
 // New returns a node that knows nothing of others yet.
 func New(o Options) *Node {
-	return &Node{options: o, board: newBoard(), reported: o.Clock.Now(), role: feed.Role{Leads: true, Serves: true}, known: 1, heard: make(map[string]time.Time)}
+	return &Node{options: o, board: newBoard(), reported: o.Clock.Now(), role: feed.Role{Leads: true, Serves: true}, known: 1, lastSeen: make(map[string]time.Time)}
 }
 
 // SetRole takes the router's role in its data centre, of which so many routers are known.
@@ -160,7 +160,7 @@
 // Due returns the messages that are due now.
 func (n *Node) Due() []Message {
 	now := n.options.Clock.Now()
-	n.board.drop(now.Add(-StaleAfter))
+	n.board.drop(now.Add(-ReportTTL))
 	n.look(now)
 	n.suspect(now)
 	if now.Before(n.next) && (!n.changed || now.Sub(n.last) < pushAfter) {
@@ -172,7 +172,7 @@
 
 // Messages returns the messages as they are now, whether they are due or not.
 func (n *Node) Messages() []Message {
-	list := []Message{{Scope: Beat, To: addresses(n.hosts(n.role.Relays))}}
+	list := []Message{{Kind: Heartbeat, To: addresses(n.hosts(n.role.Relays))}}
 	if n.role.Serves {
 		list = append(list, n.reports()...)
 	}
@@ -193,7 +193,7 @@
 	if r, ok := n.board.reports[n.cell()][n.options.Host]; ok {
 		own = append(own, r)
 	}
-	list = append(list, Message{Scope: Up, To: addresses(n.leaders(n.options.DataCentre)), Reports: own})
+	list = append(list, Message{Kind: CellReport, To: addresses(n.leaders(n.options.DataCentre)), Reports: own})
 	if !n.role.Leads {
 		return list
 	}
@@ -207,23 +207,23 @@
 			others = append(others, n.search(dc)...)
 		}
 	}
-	return append(list, Message{Scope: Across, To: addresses(others), Reports: n.board.all(n.options.DataCentre)})
+	return append(list, Message{Kind: DataCentreReport, To: addresses(others), Reports: n.board.all(n.options.DataCentre)})
 }
 
 // down is a report of the whole fleet.
 func (n *Node) down(to []netip.AddrPort) Message {
-	return Message{Scope: Down, To: to, Reports: n.board.all(""), Heard: maps.Clone(n.heard)}
+	return Message{Kind: FleetReport, To: to, Reports: n.board.all(""), LastSeen: maps.Clone(n.lastSeen)}
 }
 
 // cell is that of this router.
 func (n *Node) cell() Cell {
-	of := feed.Cells(n.known)
-	return Cell{DataCentre: n.options.DataCentre, Number: feed.CellOf(n.options.Host, of), Of: of}
+	of := feed.CellCount(n.known)
+	return Cell{DataCentre: n.options.DataCentre, Number: feed.CellOf(n.options.Host, of), Cells: of}
 }
 
 // CellName names the cell of a router in a data centre of which so many are known.
 func CellName(host string, known int) string {
-	of := feed.Cells(known)
+	of := feed.CellCount(known)
 	return strconv.Itoa(feed.CellOf(host, of)) + "/" + strconv.Itoa(of)
 }
 
@@ -236,17 +236,17 @@
 	cell := n.cell()
 	r := Report{Cell: cell, At: now}
 	for _, h := range n.options.Members.Hosts() {
-		if h.DataCentre != cell.DataCentre || feed.CellOf(h.Name, cell.Of) != cell.Number {
+		if h.DataCentre != cell.DataCentre || feed.CellOf(h.Name, cell.Cells) != cell.Number {
 			continue
 		}
-		if now.Sub(latest(h.Direct, h.Learned, n.serves)) >= silentAfter {
-			r.Gone = append(r.Gone, h.Key)
+		if now.Sub(latest(h.LastHeartbeat, h.Discovered, n.serves)) >= silentAfter {
+			r.Failed = append(r.Failed, h.Key)
 		}
 		if h.Leaving {
 			r.Leaving = append(r.Leaving, h.Key)
 		}
 	}
-	slices.Sort(r.Gone)
+	slices.Sort(r.Failed)
 	slices.Sort(r.Leaving)
 	n.board.put(n.options.Host, r)
 }
@@ -276,30 +276,30 @@
 // giveUp takes routers for gone that are not heard, nor had time to be heard since.
 func (n *Node) giveUp(hosts []*member.Host, since, now time.Time) {
 	for _, h := range hosts {
-		if now.Sub(latest(h.Direct, h.Learned, since)) >= silentAfter {
-			n.options.Members.Tell(h, false, h.Leaving, now)
+		if now.Sub(latest(h.LastHeartbeat, h.Discovered, since)) >= silentAfter {
+			n.options.Members.RecordReport(h, false, h.Leaving, now)
 		}
 	}
 }
 
-// Take takes a message of another router; To does not count. It returns what to answer: a
+// Receive takes a message of another router; To does not count. It returns what to answer: a
 // router that turns to one that does not lead learns from it who does.
-func (n *Node) Take(from *member.Host, m Message) (reply *Message) {
+func (n *Node) Receive(from *member.Host, m Message) (reply *Message) {
 	now := n.options.Clock.Now()
 	n.hear(from.DataCentre, now)
-	for dc, at := range m.Heard {
+	for dc, at := range m.LastSeen {
 		n.hear(dc, at)
 	}
 	for _, r := range m.Reports {
-		if m.Scope == Down && n.role.Leads && len(n.board.reports[r.Cell]) > 0 {
+		if m.Kind == FleetReport && n.role.Leads && len(n.board.reports[r.Cell]) > 0 {
 			continue // made of what leaders said, this one among them
 		}
 		n.board.put(from.Name, r)
 	}
-	if m.Scope == Down {
+	if m.Kind == FleetReport {
 		n.reported = now
 	}
-	if (m.Scope == Up || m.Scope == Across) && !n.role.Leads && n.replies < mostReplies {
+	if (m.Kind == CellReport || m.Kind == DataCentreReport) && !n.role.Leads && n.replies < mostReplies {
 		n.replies++
 		answer := n.down([]netip.AddrPort{from.Peer})
 		return &answer
@@ -308,8 +308,8 @@
 }
 
 func (n *Node) hear(dataCentre string, at time.Time) {
-	if n.heard[dataCentre].Before(at) {
-		n.heard[dataCentre] = at
+	if n.lastSeen[dataCentre].Before(at) {
+		n.lastSeen[dataCentre] = at
 	}
 }
 
@@ -325,30 +325,30 @@
 	for i := range all {
 		r := &all[i]
 		byCell[r.Cell] = r
-		if dc := r.Cell.DataCentre; !slices.Contains(of[dc], r.Cell.Of) {
-			of[dc] = append(of[dc], r.Cell.Of)
+		if dc := r.Cell.DataCentre; !slices.Contains(of[dc], r.Cell.Cells) {
+			of[dc] = append(of[dc], r.Cell.Cells)
 		}
 	}
 	for _, h := range n.options.Members.Hosts() {
 		var best *Report
 		for _, cells := range of[h.DataCentre] {
-			r := byCell[Cell{DataCentre: h.DataCentre, Number: feed.CellOf(h.Name, cells), Of: cells}]
+			r := byCell[Cell{DataCentre: h.DataCentre, Number: feed.CellOf(h.Name, cells), Cells: cells}]
 			if r != nil && (best == nil || best.At.Before(r.At)) {
 				best = r
 			}
 		}
-		if best != nil && n.options.Members.Tell(h, !has(best.Gone, h.Key), has(best.Leaving, h.Key), best.At) {
+		if best != nil && n.options.Members.RecordReport(h, !has(best.Failed, h.Key), has(best.Leaving, h.Key), best.At) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// Heard returns when a router of each data centre was last heard.
-func (n *Node) Heard() map[string]time.Time { return maps.Clone(n.heard) }
+// LastSeen returns when a router of each data centre was last heard.
+func (n *Node) LastSeen() map[string]time.Time { return maps.Clone(n.lastSeen) }
 
 func sameWord(a, b Report) bool {
-	return a.Cell == b.Cell && slices.Equal(a.Gone, b.Gone) && slices.Equal(a.Leaving, b.Leaving)
+	return a.Cell == b.Cell && slices.Equal(a.Failed, b.Failed) && slices.Equal(a.Leaving, b.Leaving)
 }
 
 func has(keys []uint64, key uint64) bool {
--- a/presence/presence_test.go
+++ b/presence/presence_test.go
@@ -90,13 +90,13 @@
 }
 
 func (f *fleet) cellOf(r *router, n int) Cell {
-	of := feed.Cells(n / 5)
-	return Cell{DataCentre: r.dataCentre, Number: feed.CellOf(r.name, of), Of: of}
+	of := feed.CellCount(n / 5)
+	return Cell{DataCentre: r.dataCentre, Number: feed.CellOf(r.name, of), Cells: of}
 }
 
 // start gives a router its node, which knows all others.
 func (f *fleet) start(r *router) {
-	r.table = member.New(member.Options{Self: r.name, Clock: f.clock, Timeout: StaleAfter})
+	r.table = member.New(member.Options{Self: r.name, Clock: f.clock, Timeout: ReportTTL})
 	r.node = New(Options{Host: r.name, DataCentre: r.dataCentre, Clock: f.clock, Members: r.table, Random: f.random})
 }
 
@@ -107,7 +107,7 @@
 			continue
 		}
 		for _, o := range f.routers {
-			r.table.Learn(member.Address{Name: o.name, DataCentre: o.dataCentre, Peer: o.peer})
+			r.table.Upsert(member.Address{Name: o.name, DataCentre: o.dataCentre, Peer: o.peer})
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	for _, name := range relaysOf(cell) {
 		to = append(to, f.byName[name].peer)
 	}
-	f.send(r, Message{Scope: Beat, To: to})
+	f.send(r, Message{Kind: Heartbeat, To: to})
 }
 
 func (f *fleet) send(r *router, m Message) {
@@ -197,14 +197,14 @@
 		}
 		d.to.received++
 		d.from.sequence++
-		h, news := d.to.table.Hear(&zinccovev1.Heartbeat{
+		h, news := d.to.table.RecordHeartbeat(&zinccovev1.Heartbeat{
 			Incarnation: d.from.incarnation, Sequence: d.from.sequence,
 			Host: &zinccovev1.HostInfo{Name: d.from.name, DataCentre: d.from.dataCentre, Peer: d.from.peer.String(), Control: d.from.peer.String()},
 		})
 		if news == member.Ignored {
 			continue
 		}
-		if reply := d.to.node.Take(h, d.message); reply != nil {
+		if reply := d.to.node.Receive(h, d.message); reply != nil {
 			f.send(d.to, *reply)
 		}
 	}
@@ -312,7 +312,7 @@
 			leaders = append(leaders, r)
 		}
 	}
-	assert.Equal(t, len(relays), feed.Leaders)
+	assert.Equal(t, len(relays), feed.LeaderCount)
 	f.end(true, relays...)
 	f.run(2 * knownWithin)
 	f.agrees("relays of a cell ended")
@@ -345,11 +345,11 @@
 		if r.node == nil || r.ended {
 			continue
 		}
-		heard := r.node.Heard()
+		heard := r.node.LastSeen()
 		for dc := range 5 {
 			name := fmt.Sprint("dc-", dc)
 			away := name != r.dataCentre && (name == f.cut || r.dataCentre == f.cut)
-			if name != r.dataCentre && f.clock.Since(heard[name]) > SilenceOfDataCentre != away {
+			if name != r.dataCentre && f.clock.Since(heard[name]) > DataCentreTimeout != away {
 				wrong++
 			}
 		}
@@ -369,7 +369,7 @@
 	f.lost = 0
 	for _, cut := range []string{"dc-2", ""} {
 		f.cut = cut
-		f.run(SilenceOfDataCentre + 3*beatEvery + 2*tick)
+		f.run(DataCentreTimeout + 3*beatEvery + 2*tick)
 		assert.Equal(t, f.cutOff(), 0, "cut %q", cut)
 	}
 }
@@ -378,7 +378,7 @@
 func TestDataCentreThatIsCutOffComesBack(t *testing.T) {
 	f := newRunning(t, 200, 4)
 	f.cut = "dc-2"
-	f.run(StaleAfter + knownWithin)
+	f.run(ReportTTL + knownWithin)
 	f.agrees("cut off")
 	f.cut = ""
 	f.run(knownWithin)
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -222,7 +222,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.order {
-		if s.barred() && l.clock.Since(s.changed) < revision.CopyAge {
+		if s.barred() && l.clock.Since(s.changed) < revision.MaxBackupAge {
 			l.announce(s)
 		}
 	}
--- a/revision/revision.go
+++ b/revision/revision.go
@@ -20,9 +20,9 @@
 	"time"
 )
 
-// CopyAge is longer than a copy is old from which the store may come back: what was written
+// MaxBackupAge is longer than a copy is old from which the store may come back: what was written
 // before that is in it.
-const CopyAge = time.Minute
+const MaxBackupAge = time.Minute
 
 // Revision is a state of the store, or the last write of a row as it was read in an era.
 // The zero Revision comes before all others.
--- a/standin/capacity/parts.go
+++ b/standin/capacity/parts.go
@@ -137,7 +137,7 @@
 	d := newDispatcher(cfg)
 	members := member.New(member.Options{Self: "r0", Clock: clockwork.NewRealClock(), Timeout: time.Minute})
 	book := exchange.New(exchange.Options{Repeats: 2, Rotate: 4, MaxEntries: 90})
-	book.Restart("r1", false)
+	book.ResetHost("r1", false)
 	sequence := uint64(0)
 	return microseconds(func() {
 		sequence++
@@ -149,8 +149,8 @@
 		if err != nil {
 			panic(err)
 		}
-		members.Hear(hb)
-		d.Observe(book.Absorb("r1", hb.Pools))
+		members.RecordHeartbeat(hb)
+		d.Observe(book.ApplyReports("r1", hb.Pools))
 	})
 }
 
@@ -174,9 +174,9 @@
 		for r := range routers {
 			hb := heartbeat(customers, 1)
 			hb.Incarnation, hb.Host.Name = uint64(r+1), fmt.Sprintf("r%d", r)
-			members.Hear(hb)
-			book.Restart(hb.Host.Name, false)
-			book.Absorb(hb.Host.Name, hb.Pools)
+			members.RecordHeartbeat(hb)
+			book.ResetHost(hb.Host.Name, false)
+			book.ApplyReports(hb.Host.Name, hb.Pools)
 		}
 		return []any{members, book}
 	})
