--- a/claim/claim.go
+++ b/claim/claim.go
@@ -92,14 +92,14 @@
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	BodyLost    bool   `json:"body_lost,omitempty"`
+	BodyOmitted bool   `json:"body_lost,omitempty"`
 }
 
 // MaxBody is the largest answer that is kept, in bytes.
 const MaxBody = 16 << 10
 
-// Held is a claim that this router holds.
-type Held struct {
+// Claim is a claim that this router holds.
+type Claim struct {
 	key     string
 	request string
 }
@@ -139,30 +139,30 @@
 // been used before. It returns either the held claim or the earlier record.
 // An error means that nothing is claimed as far as this router will ever
 // know, so the request must not be run.
-func (s *Store) Claim(ctx context.Context, k Key, request string) (*Held, *Record, error) {
-	if !s.Renew() {
+func (s *Store) Claim(ctx context.Context, k Key, request string) (*Claim, *Record, error) {
+	if !s.Recover() {
 		return nil, nil, errAgain
 	}
 	era := s.table.Era()
 	held, earlier, err := s.claim(ctx, k.row(), request)
 	if held != nil && s.table.Era() != era {
 		// The answer told of a new era: an earlier claim may have been lost with the last one.
-		err := s.Settle(ctx, held, Record{State: NotRun})
-		s.Renew()
+		err := s.Finish(ctx, held, Record{State: NotRun})
+		s.Recover()
 		return nil, nil, errors.Join(errAgain, err)
 	}
 	return held, earlier, err
 }
 
-func (s *Store) claim(ctx context.Context, key, request string) (*Held, *Record, error) {
+func (s *Store) claim(ctx context.Context, key, request string) (*Claim, *Record, error) {
 	var at revision.Revision
 	for range claimTries {
-		held := &Held{key: key, request: request}
+		held := &Claim{key: key, request: request}
 		err := s.write(ctx, held, at, Record{Request: request, State: Running})
 		if err == nil {
 			return held, nil, nil
 		}
-		if !platform.Undecided(err) {
+		if !platform.NeedsReread(err) {
 			return nil, nil, err
 		}
 		row, rec, rerr := s.read(ctx, key)
@@ -182,12 +182,12 @@
 	return nil, nil, errs.Wrap(platform.ErrUnavailable, "claim", "")
 }
 
-// Settle records how a claimed request ended. An error means that the record
+// Finish records how a claimed request ended. An error means that the record
 // may be missing; others that use the key are then told that it is running.
-func (s *Store) Settle(ctx context.Context, held *Held, rec Record) error {
+func (s *Store) Finish(ctx context.Context, held *Claim, rec Record) error {
 	rec.Request = held.request
 	if len(rec.Body) > MaxBody {
-		rec.Body, rec.BodyLost = nil, true
+		rec.Body, rec.BodyOmitted = nil, true
 	}
 	for range settleTries {
 		row, now, err := s.read(ctx, held.key)
@@ -201,7 +201,7 @@
 		case now.State == rec.State:
 			return nil // the answer to the write was lost
 		}
-		if err = s.write(ctx, held, row.Revision, rec); !platform.Undecided(err) {
+		if err = s.write(ctx, held, row.Revision, rec); !platform.NeedsReread(err) {
 			return err
 		}
 	}
@@ -211,8 +211,8 @@
 // settleTries bounds how often a record meets lost answers.
 const settleTries = 3
 
-// Look returns the record of a key; a missing one is platform.ErrNotFound.
-func (s *Store) Look(ctx context.Context, k Key) (*Record, error) {
+// Get returns the record of a key; a missing one is platform.ErrNotFound.
+func (s *Store) Get(ctx context.Context, k Key) (*Record, error) {
 	_, rec, err := s.read(ctx, k.row())
 	return rec, err
 }
@@ -228,7 +228,7 @@
 }
 
 // write puts a record over the given revision of the row, and remembers it.
-func (s *Store) write(ctx context.Context, held *Held, at revision.Revision, rec Record) error {
+func (s *Store) write(ctx context.Context, held *Claim, at revision.Revision, rec Record) error {
 	rec.At = s.clock.Now()
 	value, err := json.Marshal(rec)
 	if err != nil {
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -38,7 +38,7 @@
 	assert.Equal(t, earlier.State, Running)
 	assert.Equal(t, earlier.Request, "first")
 
-	assert.NilError(t, s.Settle(ctx, held, Record{State: Answered, Status: 201, Body: []byte("done")}))
+	assert.NilError(t, s.Finish(ctx, held, Record{State: Answered, Status: 201, Body: []byte("done")}))
 	_, earlier, err = s.Claim(ctx, testKey, "third")
 	assert.NilError(t, err)
 	assert.Equal(t, earlier.State, Answered)
@@ -51,7 +51,7 @@
 	defer s.Close()
 	held, _, err := s.Claim(ctx, testKey, "first")
 	assert.NilError(t, err)
-	assert.NilError(t, s.Settle(ctx, held, Record{State: NotRun}))
+	assert.NilError(t, s.Finish(ctx, held, Record{State: NotRun}))
 	again, earlier, err := s.Claim(ctx, testKey, "second")
 	assert.NilError(t, err)
 	assert.Assert(t, again != nil && earlier == nil)
@@ -74,10 +74,10 @@
 	defer s.Close()
 	held, _, err := s.Claim(ctx, testKey, "first")
 	assert.NilError(t, err)
-	assert.NilError(t, s.Settle(ctx, held, Record{State: Answered, Body: make([]byte, MaxBody+1)}))
-	rec, err := s.Look(ctx, testKey)
+	assert.NilError(t, s.Finish(ctx, held, Record{State: Answered, Body: make([]byte, MaxBody+1)}))
+	rec, err := s.Get(ctx, testKey)
 	assert.NilError(t, err)
-	assert.Assert(t, rec.BodyLost && rec.Body == nil)
+	assert.Assert(t, rec.BodyOmitted && rec.Body == nil)
 }
 
 // TestFaultsAtEveryCall makes each kind of failure at each call to the table
@@ -85,7 +85,7 @@
 // held and that a claim which is not held leaves no doubt about the other.
 func TestFaultsAtEveryCall(t *testing.T) {
 	ctx := context.Background()
-	faults := []platformtest.Failure{platformtest.Down, platformtest.LostRequest, platformtest.LostAnswer}
+	faults := []platformtest.Failure{platformtest.Down, platformtest.LostRequest, platformtest.LostResponse}
 	const calls = 7
 	for first := range calls {
 		for second := first; second < calls; second++ {
@@ -149,7 +149,7 @@
 		fails := rapid.SliceOfN(rapid.IntRange(0, 8), 40, 40).Draw(t, "failures")
 		m := platformtest.New()
 		m.Fail = func(call int, _ bool) platformtest.Failure {
-			if f := fails[call%len(fails)]; f <= int(platformtest.LostAnswer) {
+			if f := fails[call%len(fails)]; f <= int(platformtest.LostResponse) {
 				return platformtest.Failure(f)
 			}
 			return platformtest.None
--- a/claim/again.go
+++ b/claim/recover.go
@@ -39,13 +39,13 @@
 
 // recent is a record and when it was written.
 type recent struct {
-	held Held
+	held Claim
 	rec  Record
 	at   time.Time
 }
 
 // remember keeps a record that was written, in place of an earlier one of its key.
-func (s *Store) remember(h Held, rec Record) {
+func (s *Store) remember(h Claim, rec Record) {
 	l := &s.lost
 	now := s.clock.Now()
 	l.mu.Lock()
@@ -62,9 +62,9 @@
 	l.recent = append(kept, recent{held: h, rec: rec, at: now})
 }
 
-// Renew reports whether claims may be made. After the table came back from a copy it
+// Recover reports whether claims may be made. After the table came back from a copy it
 // writes this router's latest claims again, and claims are refused until others had time to.
-func (s *Store) Renew() bool {
+func (s *Store) Recover() bool {
 	l := &s.lost
 	now, era := s.clock.Now(), s.table.Era()
 	l.mu.Lock()
--- a/confsync/confsync_test.go
+++ b/confsync/confsync_test.go
@@ -143,7 +143,7 @@
 	before, err := intent.New(intent.Options{Table: m.Table(), Clock: clockwork.NewFakeClock()}).
 		Plan(ctx, "anna", []config.Change{config.Put(config.Service{Name: "s"})})
 	assert.NilError(t, err)
-	goBack := m.Copy()
+	goBack := m.Backup()
 	accept(t, m, 2)
 	accept(t, m, 3)
 	assert.NilError(t, a.Poll(ctx))
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -266,7 +266,7 @@
 	down := false
 	for {
 		err := d.syncer.Poll(ctx)
-		d.claims.Renew()
+		d.claims.Recover()
 		if err == nil && (d.loop.contact.Alone() || d.clock.Since(hostsRead) >= hostListPeriod) {
 			var hosts []platform.Host
 			if hosts, err = d.platform.Hosts(ctx); err == nil {
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -27,7 +27,7 @@
 func (d *Daemon) giveOrders(ctx context.Context) error {
 	l := lease.New(lease.Options{
 		Table: d.platform.Table(), Clock: d.clock, Name: "orders/" + d.settings.DataCentre,
-		Holder: d.settings.Host + "/" + strconv.FormatUint(d.loop.contact.Incarnation, 16), TTL: leaseTTL, Flight: order.Flight,
+		Holder: d.settings.Host + "/" + strconv.FormatUint(d.loop.contact.Incarnation, 16), TTL: leaseTTL, OrderTimeout: order.Timeout,
 	})
 	r := order.New(order.Options{Lease: l, Clock: d.clock, Dial: d.dial})
 	held := false
@@ -79,7 +79,7 @@
 }
 
 func (d *Daemon) countOrders(r order.Result) {
-	d.metrics.Add(metric.OrdersGiven, r.Given)
+	d.metrics.Add(metric.OrdersGiven, r.Sent)
 	d.metrics.Add(metric.OrdersFenced, r.Fenced)
 	d.metrics.Add(metric.OrdersFailed, r.Failed)
 }
--- a/gateway/announce.go
+++ b/gateway/announce.go
@@ -44,7 +44,7 @@
 			return hosts, err
 		}
 	}
-	if err := g.store.Announce(ctx, self, g.ownPart()); err != nil {
+	if err := g.store.RegisterRouter(ctx, self, g.ownPart()); err != nil {
 		return nil, err
 	}
 	return g.store.Hosts(ctx, g.ownPart())
@@ -120,7 +120,7 @@
 		if !g.withdrawn.Swap(false) && g.clock.Since(written) > revision.CopyAge {
 			continue
 		}
-		if err := g.store.Announce(ctx, self, g.ownPart()); err != nil {
+		if err := g.store.RegisterRouter(ctx, self, g.ownPart()); err != nil {
 			g.log.Warn().Err(err).Msg("router not announced again, trying again")
 			g.clock.Sleep(announcePause)
 			g.announceAgain()
--- a/gateway/follow.go
+++ b/gateway/follow.go
@@ -185,8 +185,8 @@
 		}
 		return g.settle()
 	}
-	o.Lost = func(loss follow.Loss) { g.loop.post(ctx, func(l *loop) { l.roster.Interrupted() }); lost(loss) }
-	o.Regained = func() { g.loop.post(ctx, func(l *loop) { l.roster.Resumed() }); regained() }
+	o.Lost = func(loss follow.Loss) { g.loop.post(ctx, func(l *loop) { l.roster.MarkDisconnected() }); lost(loss) }
+	o.Regained = func() { g.loop.post(ctx, func(l *loop) { l.roster.MarkReconnected() }); regained() }
 	return follow.Run(ctx, o)
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -34,7 +34,7 @@
 
 func newPlacer(t *testing.T) *place.Placer {
 	t.Helper()
-	table, err := route.New(route.Spec{Version: 1, Services: []route.Service{{Name: "m", Engine: &route.Engine{Slots: 64, MemoryTokens: 100_000}}}})
+	table, err := route.New(route.Spec{Version: 1, Services: []route.Service{{Name: "m", Engine: &route.Engine{Slots: 64, CacheTokens: 100_000}}}})
 	assert.NilError(t, err)
 	p := place.New(place.Options{Clock: clockwork.NewFakeClock()})
 	p.SetTargets([]*roster.Target{{ID: "t", Service: "m", Slots: 64}}, table)
@@ -231,7 +231,7 @@
 // targets for 30 customers does not fit a datagram, and one that is too large is lost.
 func TestNewsFitDatagrams(t *testing.T) {
 	const targets, customers, requests = 140, 30, 150
-	table, err := route.New(route.Spec{Version: 1, Services: []route.Service{{Name: "m", Engine: &route.Engine{Slots: 64, MemoryTokens: 100_000}}}})
+	table, err := route.New(route.Spec{Version: 1, Services: []route.Service{{Name: "m", Engine: &route.Engine{Slots: 64, CacheTokens: 100_000}}}})
 	assert.NilError(t, err)
 	p := place.New(place.Options{Clock: clockwork.NewFakeClock()})
 	var list []*roster.Target
--- a/gateway/loop.go
+++ b/gateway/loop.go
@@ -138,7 +138,7 @@
 			Control: func() netip.AddrPort { return g.control.Address() },
 			Peer:    func() netip.AddrPort { return g.transport.Address() },
 		}),
-		roster:      roster.New(roster.Options{Clock: g.clock, Return: targetReturn, Renewal: renewalTime(g.settings.TargetDrain, g.settings.TargetHeartbeat)}),
+		roster:      roster.New(roster.Options{Clock: g.clock, ReturnTimeout: targetReturn, RenewalInterval: renewalTime(g.settings.TargetDrain, g.settings.TargetHeartbeat)}),
 		published:   make(map[string]published),
 		leaving:     make(map[place.Hash]departure),
 		words:       make(map[place.Hash]revision.Revision),
--- a/gateway/reports.go
+++ b/gateway/reports.go
@@ -102,7 +102,7 @@
 	}
 	g := l.gateway
 	g.group.Go(func() error {
-		err := g.store.Withdraw(ctx, g.ownPart(), names...)
+		err := g.store.RemoveRouters(ctx, g.ownPart(), names...)
 		g.log.Info().Err(err).Strs("routers", names).Msg("entries of routers that are gone removed")
 		return nil
 	})
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -94,7 +94,7 @@
 	if !g.rollouts.Active() {
 		return
 	}
-	for _, v := range g.rollouts.Verdicts() {
+	for _, v := range g.rollouts.Evaluate() {
 		l.noteVerdict(ctx, v, now)
 	}
 	if !l.reporting() && now.Sub(l.rollouts.told) >= rolloutsEvery {
@@ -103,14 +103,14 @@
 }
 
 // noteVerdict has the state of an order written when it is this router's turn.
-func (l *loop) noteVerdict(ctx context.Context, v rollout.Verdict, now time.Time) {
+func (l *loop) noteVerdict(ctx context.Context, v rollout.Evaluation, now time.Time) {
 	g := l.gateway
 	f := l.rollouts.found[v.Order.Service]
 	if f.at != v.Order.Revision || f.state != v.State {
 		f = foundState{at: v.Order.Revision, state: v.State, since: now}
 		g.log.Info().Str("service", v.Order.Service).Str("target_version", v.Order.Version).Str("state", string(v.State)).
-			Dur("after_ms", now.Sub(v.Order.At)).Int("answers", v.New.Answers).Int("failures", v.New.Failures).Int("slow", v.New.Slow).
-			Int("old_answers", v.Old.Answers).Int("old_failures", v.Old.Failures).Int("old_slow", v.Old.Slow).Int("old_running", v.OldRunning).
+			Dur("after_ms", now.Sub(v.Order.At)).Int("answers", v.New.Requests).Int("failures", v.New.Failures).Int("slow", v.New.Slow).
+			Int("old_answers", v.Old.Requests).Int("old_failures", v.Old.Failures).Int("old_slow", v.Old.Slow).Int("old_running", v.OldRunning).
 			Msg("state of a service that moves, as this router finds it")
 		if v.State == rollout.RolledBack {
 			l.judged()
@@ -130,7 +130,7 @@
 
 // writeRollout writes the state of an order, unless another one stands that never changes, and
 // returns the state that stands.
-func (g *Gateway) writeRollout(ctx context.Context, v rollout.Verdict) (stands rollout.State, err error) {
+func (g *Gateway) writeRollout(ctx context.Context, v rollout.Evaluation) (stands rollout.State, err error) {
 	s, err := g.store.RolloutState(ctx, v.Order.Service)
 	if err != nil && !eris.Is(err, platform.ErrNotFound) {
 		return "", err
@@ -144,7 +144,7 @@
 }
 
 // takeWritten takes what stands in the store.
-func (l *loop) takeWritten(v rollout.Verdict, stands rollout.State, err error) {
+func (l *loop) takeWritten(v rollout.Evaluation, stands rollout.State, err error) {
 	g := l.gateway
 	l.rollouts.busy = false
 	if err != nil {
@@ -157,7 +157,7 @@
 	}
 	g.log.Info().Str("service", v.Order.Service).Str("target_version", v.Order.Version).Str("state", string(stands)).Msg("state of a service that moves, in the store")
 	if stands.Final() {
-		g.rollouts.Overrule(v.Order.Service, v.Order.Version, stands)
+		g.rollouts.SetState(v.Order.Service, v.Order.Version, stands)
 		l.judged()
 	}
 }
@@ -242,7 +242,7 @@
 		if known {
 			c.Tallies, c.OldRunning = nil, 0
 		}
-		l.gateway.rollouts.Hear(from, c)
+		l.gateway.rollouts.Receive(from, c)
 	}
 }
 
@@ -265,7 +265,7 @@
 		for _, key := range slices.SortedFunc(maps.Keys(c.Tallies), byRoute) {
 			t := c.Tallies[key]
 			e.Tallies = append(e.Tallies, &zinccovev1.RouteTally{
-				Route: key.Route, NewVersion: key.New, Answers: uint32(t.Answers), Failures: uint32(t.Failures), Slow: uint32(t.Slow),
+				Route: key.Route, NewVersion: key.New, Answers: uint32(t.Requests), Failures: uint32(t.Failures), Slow: uint32(t.Slow),
 			})
 		}
 		enc = append(enc, e)
@@ -289,7 +289,7 @@
 		State: rollout.State(e.State), Tallies: make(map[rollout.Key]rollout.Tally),
 	}
 	for _, t := range e.Tallies {
-		c.Tallies[rollout.Key{Route: t.Route, New: t.NewVersion}] = rollout.Tally{Answers: int(t.Answers), Failures: int(t.Failures), Slow: int(t.Slow)}
+		c.Tallies[rollout.Key{Route: t.Route, New: t.NewVersion}] = rollout.Tally{Requests: int(t.Answers), Failures: int(t.Failures), Slow: int(t.Slow)}
 	}
 	return c
 }
--- a/gateway/rollouts_test.go
+++ b/gateway/rollouts_test.go
@@ -49,7 +49,7 @@
 // answered has a router see answers of the new version, so many of them bad.
 func noteAnswers(l *loop, good, bad int) {
 	for i := range good + bad {
-		l.gateway.rollouts.Note("m", "r", "v2", rollout.Answer{Failed: i < bad, Took: time.Millisecond, Size: 1})
+		l.gateway.rollouts.Record("m", "r", "v2", rollout.Outcome{Failed: i < bad, Duration: time.Millisecond, Size: 1})
 	}
 }
 
@@ -63,7 +63,7 @@
 		takeOrders(l, false, orderOf("m", 20, goodOrder))
 		return l
 	}
-	sum := func(l *loop) rollout.Tally { return l.gateway.rollouts.Verdicts()[0].New }
+	sum := func(l *loop) rollout.Tally { return l.gateway.rollouts.Evaluate()[0].New }
 	tell := func(from, to *loop, host, dataCentre string, scope presence.Scope) {
 		hb := crosses(t, &zinccovev1.Heartbeat{Rollouts: from.rolloutsOf(scope), Report: &zinccovev1.Report{Scope: scopes[scope]}})
 		to.hearRollouts(host, dataCentre, hb)
@@ -90,7 +90,7 @@
 		}
 	}
 	for _, relay := range relays {
-		assert.Equal(t, sum(relay).Answers, 15)
+		assert.Equal(t, sum(relay).Requests, 15)
 	}
 	for i, relay := range relays {
 		tell(relay, leader, names[i], "dc-0", presence.Up)
@@ -100,15 +100,15 @@
 			tell(relays[0], leader, name, "dc-0", presence.Up) // a relay of its own cell
 		}
 	}
-	assert.Equal(t, sum(leader).Answers, 15)
+	assert.Equal(t, sum(leader).Requests, 15)
 	for range 3 {
 		tell(leader, elsewhere, "leader", "dc-0", presence.Across)
 	}
-	assert.Equal(t, sum(elsewhere).Answers, 15)
+	assert.Equal(t, sum(elsewhere).Requests, 15)
 
 	noteAnswers(elsewhere, 0, 20)
-	assert.Equal(t, elsewhere.gateway.rollouts.Verdicts()[0].State, rollout.RolledBack)
+	assert.Equal(t, elsewhere.gateway.rollouts.Evaluate()[0].State, rollout.RolledBack)
 	tell(elsewhere, relays[0], "leader-elsewhere", "dc-1", presence.Down)
-	assert.Equal(t, relays[0].gateway.rollouts.Choose("m", 0), rollout.Choice{Not: "v2", Strict: true})
-	assert.Equal(t, sum(relays[0]).Answers, 15, "what comes down is the state alone")
+	assert.Equal(t, relays[0].gateway.rollouts.Choose("m", 0), rollout.Choice{Exclude: "v2", Strict: true})
+	assert.Equal(t, sum(relays[0]).Requests, 15, "what comes down is the state alone")
 }
--- a/gateway/targets.go
+++ b/gateway/targets.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		if gone, ended := l.roster.Put(t); ended {
-			l.depart([]roster.Departure{gone}, "target started again")
+			l.depart([]roster.Termination{gone}, "target started again")
 		}
 	}
 	if whole {
@@ -47,7 +47,7 @@
 	if whole && !l.tableRead {
 		l.recallWords()
 	}
-	l.roster.CaughtUp()
+	l.roster.MarkSynced()
 	l.publishTargets()
 }
 
@@ -99,7 +99,7 @@
 	word, told := l.leaving[hash]
 	switch {
 	case t.Draining:
-		l.leaves(known.Departure(known.Revision))
+		l.leaves(known.Termination(known.Revision))
 	case known.Draining && told:
 		// The entry is that of a copy. What was read before counts for others too.
 		l.leaving[hash] = departure{at: l.gateway.clock.Now(), revision: word.revision}
@@ -116,13 +116,13 @@
 }
 
 // leaves remembers a run of a target to tell other routers of.
-func (l *loop) leaves(d roster.Departure) {
+func (l *loop) leaves(d roster.Termination) {
 	l.leaving[place.HashOf(d.Incarnation)] = departure{at: l.gateway.clock.Now(), revision: d.Revision}
 }
 
 // depart remembers targets that are gone, and says why. It reports whether there
 // are any.
-func (l *loop) depart(gone []roster.Departure, why string) bool {
+func (l *loop) depart(gone []roster.Termination, why string) bool {
 	if len(gone) == 0 {
 		return false
 	}
@@ -192,7 +192,7 @@
 
 // believe takes another router's word on a target that is known.
 func (l *loop) believe(id string, at revision.Revision, from string) bool {
-	if !l.roster.Leave(id, at) {
+	if !l.roster.MarkDraining(id, at) {
 		return false
 	}
 	l.gateway.log.Info().Str("target", id).Uint64("era", at.Era).Uint64("version", at.Count).Str("peer", from).
--- a/ingress/once.go
+++ b/ingress/once.go
@@ -48,7 +48,7 @@
 	return r
 }
 
-func (f *flow) claim(key claim.Key) (*claim.Held, *claim.Record, error) {
+func (f *flow) claim(key claim.Key) (*claim.Claim, *claim.Record, error) {
 	c, cancel := context.WithDeadline(context.Background(), bootclock.Steady(f.server.options.Clock, f.deadline))
 	defer cancel()
 	return f.server.options.Claims.Claim(c, key, f.request.ID())
@@ -56,7 +56,7 @@
 
 // replay tells a duplicate what became of the first call with its key.
 func (f *flow) replay(ctx *fasthttp.RequestCtx, earlier *claim.Record) *Refusal {
-	if earlier.State != claim.Answered || earlier.BodyLost {
+	if earlier.State != claim.Answered || earlier.BodyOmitted {
 		f.request.GiveUp(false)
 		r := refuse(CodeDuplicate, duplicateText(earlier))
 		if earlier.State == claim.Running {
@@ -88,7 +88,7 @@
 // settle records how the claimed call ended. A call that did not run gives its
 // key back before the caller is told, so that the caller can use it again at
 // once; other ends are recorded while the caller gets its answer.
-func (f *flow) settle(ctx *fasthttp.RequestCtx, held *claim.Held, r *Refusal) {
+func (f *flow) settle(ctx *fasthttp.RequestCtx, held *claim.Claim, r *Refusal) {
 	rec := claim.Record{State: claim.Answered, Status: ctx.Response.StatusCode(),
 		ContentType: string(ctx.Response.Header.ContentType()), Body: append([]byte(nil), ctx.Response.Body()...)}
 	if r != nil {
@@ -106,10 +106,10 @@
 	})
 }
 
-func (s *Server) settle(held *claim.Held, rec claim.Record) {
+func (s *Server) settle(held *claim.Claim, rec claim.Record) {
 	ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 	defer cancel()
-	if err := s.options.Claims.Settle(ctx, held, rec); err != nil {
+	if err := s.options.Claims.Finish(ctx, held, rec); err != nil {
 		s.options.Metrics.Inc(metric.PlatformErrors)
 	}
 }
--- a/intent/intent.go
+++ b/intent/intent.go
@@ -373,7 +373,7 @@
 			Checks: []platform.Check{{Key: put.Key, Revision: row}},
 			Puts:   []platform.Put{put},
 		})
-		if !platform.Undecided(err) {
+		if !platform.NeedsReread(err) {
 			return err
 		}
 	}
@@ -396,7 +396,7 @@
 			return 0, ErrNotProposed
 		}
 		err = s.confirm(ctx, operator, p, row)
-		if !platform.Undecided(err) && err != nil {
+		if !platform.NeedsReread(err) && err != nil {
 			return 0, err
 		}
 	}
--- a/intent/intent_test.go
+++ b/intent/intent_test.go
@@ -140,7 +140,7 @@
 // makes, and at each two, and checks that an error or success never lies about
 // what is in force, and that confirming again settles it.
 func TestFaultsAtEveryCall(t *testing.T) {
-	faults := []platformtest.Failure{platformtest.Down, platformtest.LostRequest, platformtest.LostAnswer}
+	faults := []platformtest.Failure{platformtest.Down, platformtest.LostRequest, platformtest.LostResponse}
 	const calls = 9
 	for first := 1; first <= calls; first++ {
 		for second := first; second <= calls; second++ {
@@ -251,7 +251,7 @@
 			inputs, plans = append(inputs, in), append(plans, p)
 		}
 		m.Fail = func(call int, _ bool) platformtest.Failure {
-			if f := fails[call%len(fails)]; f <= int(platformtest.LostAnswer) {
+			if f := fails[call%len(fails)]; f <= int(platformtest.LostResponse) {
 				return platformtest.Failure(f)
 			}
 			return platformtest.None
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -47,8 +47,8 @@
 	Holder string
 	// TTL is how long a holder may act after it wrote the row.
 	TTL time.Duration
-	// Flight is the longest time that an order is under way.
-	Flight time.Duration
+	// OrderTimeout is the longest time that an order is under way.
+	OrderTimeout time.Duration
 }
 
 // row is the value of the lease's row.
@@ -118,7 +118,7 @@
 	}
 	none, own := at.Count == 0, cur.Holder == l.options.Holder && at.Count > 0
 	held := now.Before(l.until)
-	expired := now.Sub(l.since) >= l.options.TTL+l.options.Flight
+	expired := now.Sub(l.since) >= l.options.TTL+l.options.OrderTimeout
 	switch {
 	case held && (none || !own && cur.Number < l.number):
 		return row{Holder: l.options.Holder, Number: l.number}, true
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -21,7 +21,7 @@
 var ctx = context.Background()
 
 func newLease(m *platformtest.Memory, clock clockwork.Clock, holder string) *Lease {
-	return New(Options{Table: m.Table(), Clock: clock, Name: "orders/dc1", Holder: holder, TTL: ttl, Flight: flight})
+	return New(Options{Table: m.Table(), Clock: clock, Name: "orders/dc1", Holder: holder, TTL: ttl, OrderTimeout: flight})
 }
 
 func TestLeaseIsTakenRenewedAndTakenOver(t *testing.T) {
@@ -72,7 +72,7 @@
 	a := newLease(m, clock, "a")
 	m.Fail = func(call int, write bool) platformtest.Failure {
 		if write && call < 3 {
-			return platformtest.LostAnswer
+			return platformtest.LostResponse
 		}
 		return platformtest.None
 	}
@@ -101,7 +101,7 @@
 		var highest uint64
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			failure = platformtest.Failure(rapid.IntRange(0, 12).Draw(t, "failure"))
-			if failure > platformtest.LostAnswer {
+			if failure > platformtest.LostResponse {
 				failure = platformtest.None
 			}
 			leases[rapid.IntRange(0, 2).Draw(t, "router")].Step(ctx) //nolint:errcheck // failures are part of the test
@@ -154,7 +154,7 @@
 			assert.NilError(t, b.Step(ctx))
 			clock.Advance(ttl + flight)
 		}
-		goBack := m.Copy()
+		goBack := m.Backup()
 		for range 3 {
 			assert.NilError(t, a.Step(ctx))
 			clock.Advance(ttl + flight)
@@ -188,7 +188,7 @@
 // seconds, so that nobody can write its number again.
 func TestNumbersOfANewEraAreAboveThoseThatWereLost(t *testing.T) {
 	m, clock := platformtest.New(), clockwork.NewFakeClock()
-	goBack := m.Copy()
+	goBack := m.Backup()
 	lost := uint64(0)
 	for n := range 5 {
 		l := newLease(m, clock, fmt.Sprint("h", n))
--- a/order/order.go
+++ b/order/order.go
@@ -55,8 +55,8 @@
 // given it orders.
 var ErrFenced = eris.New("order has an old fencing number")
 
-// Flight is the longest time that an order is under way.
-const Flight = time.Second
+// Timeout is the longest time that an order is under way.
+const Timeout = time.Second
 
 // Options configure a reconciler.
 type Options struct {
@@ -83,9 +83,9 @@
 
 // Result counts what one round did.
 type Result struct {
-	// Given is the number of orders given, Fenced of those refused for an old
+	// Sent is the number of orders given, Fenced of those refused for an old
 	// number, Failed of targets that could not be asked or ordered.
-	Given, Fenced, Failed int
+	Sent, Fenced, Failed int
 }
 
 // Reconcile looks at each target that takes orders and orders those that are
@@ -126,7 +126,7 @@
 	case err != nil:
 		res.Failed++
 	default:
-		res.Given++
+		res.Sent++
 	}
 }
 
@@ -140,7 +140,7 @@
 const maxState = 64 << 10
 
 func (c *client) do(addr netip.AddrPort, method, path string, body []byte) (int, []byte, error) {
-	hc := httpc.New(addr, httpc.Limits{Conns: 1, Body: maxState, Idle: Flight, Dial: c.dial})
+	hc := httpc.New(addr, httpc.Limits{Conns: 1, Body: maxState, Idle: Timeout, Dial: c.dial})
 	defer hc.CloseIdleConnections()
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -148,7 +148,7 @@
 	req.SetRequestURI("http://" + addr.String() + path)
 	req.Header.SetMethod(method)
 	req.SetBodyRaw(body)
-	err := hc.DoDeadline(req, resp, bootclock.Steady(c.clock, c.clock.Now().Add(Flight)))
+	err := hc.DoDeadline(req, resp, bootclock.Steady(c.clock, c.clock.Now().Add(Timeout)))
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), err
 }
 
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -46,7 +46,7 @@
 }
 
 func newGiver(m *platformtest.Memory, clock clockwork.Clock, name string, e *engine) *giver {
-	l := lease.New(lease.Options{Table: m.Table(), Clock: clock, Name: "orders/dc1", Holder: name, TTL: ttl, Flight: Flight})
+	l := lease.New(lease.Options{Table: m.Table(), Clock: clock, Name: "orders/dc1", Holder: name, TTL: ttl, OrderTimeout: Timeout})
 	g := &giver{Reconciler: New(Options{Lease: l, Clock: clock}), lease: l}
 	g.state = func(netip.AddrPort) (State, error) { return State{ModelVersion: e.version}, nil }
 	g.send = func(_ netip.AddrPort, o Order) error {
@@ -75,7 +75,7 @@
 	g := newGiver(platformtest.New(), clockwork.NewFakeClock(), "a", e)
 	assert.Equal(t, g.Reconcile(wanted("v2")), Result{}, "no lease, no order")
 	assert.NilError(t, g.lease.Step(context.Background()))
-	assert.Equal(t, g.Reconcile(wanted("v2")), Result{Given: 1})
+	assert.Equal(t, g.Reconcile(wanted("v2")), Result{Sent: 1})
 	assert.NilError(t, g.deliver(e))
 	assert.Equal(t, g.Reconcile(wanted("v2")), Result{})
 	assert.Equal(t, g.Reconcile([]config.Target{{Name: "other", ModelVersion: "v9"}}), Result{})
@@ -95,7 +95,7 @@
 			clock.Advance(time.Second)
 			assert.NilError(t, b.lease.Step(ctx))
 		}
-		assert.Equal(t, b.Reconcile(wanted("new")), Result{Given: 1})
+		assert.Equal(t, b.Reconcile(wanted("new")), Result{Sent: 1})
 		assert.NilError(t, b.deliver(e))
 		assert.Equal(t, a.Reconcile(wanted("old")), Result{}, "a holder that wakes late orders nothing")
 
--- a/place/admit.go
+++ b/place/admit.go
@@ -63,7 +63,7 @@
 	if made == 0 {
 		made = c.MaxTokens
 	}
-	return c.PromptTokens + route.MadeTokenCost*made
+	return c.PromptTokens + route.OutputTokenCost*made
 }
 
 // small reports whether a prompt costs others little at its target.
--- a/place/ask.go
+++ b/place/ask.go
@@ -106,7 +106,7 @@
 	if s.engine != nil {
 		a.Line = s.speed.Line
 		pr := prompt{shared: q.Parts, sizes: q.Sizes, total: max(q.Total, 1)}
-		a.Unread = pr.unread(&t.kept, s.engine.MemoryTokens, q.First && t.warm(now))
+		a.Unread = pr.unread(&t.kept, s.engine.CacheTokens, q.First && t.warm(now))
 	}
 	return a, true
 }
--- a/place/copy.go
+++ b/place/copy.go
@@ -41,9 +41,9 @@
 // is known here.
 func (s *service) unread(t *target, pr *prompt, known told, first bool, now time.Time) int {
 	if a, ok := known[t.hash]; ok {
-		return min(a.Unread, pr.unread(&t.kept, s.engine.MemoryTokens, false))
+		return min(a.Unread, pr.unread(&t.kept, s.engine.CacheTokens, false))
 	}
-	return pr.unread(&t.kept, s.engine.MemoryTokens, first && t.warm(now))
+	return pr.unread(&t.kept, s.engine.CacheTokens, first && t.warm(now))
 }
 
 // copiesFrom reports whether others may copy from a target that takes nothing new, as it
--- a/place/home.go
+++ b/place/home.go
@@ -40,7 +40,7 @@
 func (p *Placer) accept(s *service, r Request, pr *prompt, t *target, d Decision, now time.Time) Decision {
 	cost := costOf(r.Call)
 	t.kept.touch(pr.shared, d.Unread+d.Copied)
-	t.kept.trim(s.engine.MemoryTokens)
+	t.kept.trim(s.engine.CacheTokens)
 	d = p.begin(t, r, d, Use{Asked: cost}, Use{Served: cost}, now)
 	p.numbered++
 	d.Run.number = p.numbered
--- a/place/line_test.go
+++ b/place/line_test.go
@@ -43,7 +43,7 @@
 	stated := float64(engines) * 1000 / (statedRatio * float64(idlePerToken) / float64(time.Millisecond) * readPart)
 	table, err := route.New(route.Spec{
 		Version: 1, Limits: route.Limits{TokensPerSecond: stated},
-		Services: []route.Service{{Name: "model", Engine: &route.Engine{Slots: 16, MemoryTokens: 500_000}}},
+		Services: []route.Service{{Name: "model", Engine: &route.Engine{Slots: 16, CacheTokens: 500_000}}},
 	})
 	assert.NilError(t, err)
 	list := targets("model", engines)
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -31,7 +31,7 @@
 	t.Helper()
 	table, err := route.New(route.Spec{
 		Version: 1, Limits: route.Limits{TokensPerSecond: 300_000},
-		Services: []route.Service{{Name: "model", Engine: &route.Engine{Slots: 64, MemoryTokens: 500_000}}, {Name: "plain"}},
+		Services: []route.Service{{Name: "model", Engine: &route.Engine{Slots: 64, CacheTokens: 500_000}}, {Name: "plain"}},
 	})
 	assert.NilError(t, err)
 	return table
@@ -341,7 +341,7 @@
 func benchmarkPlace(b *testing.B, n int) {
 	clock := clockwork.NewFakeClock()
 	p := New(Options{Clock: clock})
-	table, err := route.New(route.Spec{Version: 1, Services: []route.Service{{Name: "model", Engine: &route.Engine{Slots: 64, MemoryTokens: 500_000}}}})
+	table, err := route.New(route.Spec{Version: 1, Services: []route.Service{{Name: "model", Engine: &route.Engine{Slots: 64, CacheTokens: 500_000}}}})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -384,13 +384,13 @@
 func TestColdTargetsThatBearLittleAreSpared(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	tab := table(t)
-	tab.Services[0].ColdRate = 6
+	tab.Services[0].WarmUpRate = 6
 	list := targets("model", 8)
 	cold := make(map[string]bool)
 	for i, target := range list {
 		target.Revision.Count = 1
 		if i%2 == 0 {
-			target.ColdLeft = time.Second
+			target.WarmUpRemaining = time.Second
 			cold[target.ID] = true
 		}
 	}
--- a/place/targets.go
+++ b/place/targets.go
@@ -141,7 +141,7 @@
 		p.unlist(t)
 	}
 	if t.Target == nil || t.Revision != entry.Revision {
-		t.coldUntil = now.Add(entry.ColdLeft)
+		t.coldUntil = now.Add(entry.WarmUpRemaining)
 	}
 	listed := t.Target != nil && t.Service == entry.Service
 	t.Target = entry
@@ -217,7 +217,7 @@
 	for i := range table.Services {
 		s := p.service(table.Services[i].Name)
 		s.engine = table.Services[i].Engine
-		s.coldRate = table.Services[i].ColdRate
+		s.coldRate = table.Services[i].WarmUpRate
 		if s.engine != nil && len(s.targets) > 0 {
 			s.speed.guess(table.Limits.TokensPerSecond / float64(len(s.targets)))
 		}
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -181,7 +181,7 @@
 	f.engine = table.Service(f.service).Engine != nil
 	f.chooseVersions(rand.Float64())
 	f.life = request.New(request.Options{
-		ID: f.call.ID, Repeatable: f.route.Repeats(), Deadline: f.deadline, MaxAttempts: f.route.MaxAttempts,
+		ID: f.call.ID, Repeatable: f.route.Retryable(), Deadline: f.deadline, MaxAttempts: f.route.MaxAttempts,
 		FreeUnsent: freeUnsent,
 	})
 	f.server.options.Retries.Earn()
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -217,7 +217,7 @@
 		f.run.End(place.Faulty) // the later End has no effect then
 	}
 	f.run.End(place.Answered)
-	f.judge(rollout.Answer{Failed: status >= fasthttp.StatusInternalServerError, Took: f.sinceSent(), Size: 1})
+	f.judge(rollout.Outcome{Failed: status >= fasthttp.StatusInternalServerError, Duration: f.sinceSent(), Size: 1})
 	f.clear(body)
 	f.finish(c, ans, body, sent)
 	return ans, nil
--- a/relay/connect.go
+++ b/relay/connect.go
@@ -64,7 +64,7 @@
 func (f *flight) dial() (*link.Conn, error) {
 	s, incarnation := f.server, f.run.Incarnation()
 	freshness := link.Recent
-	if f.route.Repeats() {
+	if f.route.Retryable() {
 		freshness = link.Rested
 	}
 	timeout := f.connectTime()
--- a/relay/fake_test.go
+++ b/relay/fake_test.go
@@ -209,7 +209,7 @@
 	public.Public = true
 	return route.Spec{
 		Version:   1,
-		Services:  []route.Service{{Name: "plain"}, {Name: "model", Engine: &route.Engine{Slots: 8, MemoryTokens: 10000}}},
+		Services:  []route.Service{{Name: "plain"}, {Name: "model", Engine: &route.Engine{Slots: 8, CacheTokens: 10000}}},
 		Customers: []route.Customer{{Name: customerName, Keys: []string{customerKey}}},
 		Routes: []*route.Route{
 			r("/once/", route.Once, "plain"), r("/repeat/", route.Repeatable, "plain"), r("/model/", route.Stream, "model"), resume, public,
--- a/relay/flight.go
+++ b/relay/flight.go
@@ -128,7 +128,7 @@
 		return false
 	}
 	now := f.server.options.Clock.Now()
-	if !f.route.Repeats() || !f.life.MayRetry(target.Broken, now) || !f.server.options.Retries.Take() {
+	if !f.route.Retryable() || !f.life.MayRetry(target.Broken, now) || !f.server.options.Retries.Take() {
 		return false
 	}
 	f.server.logAttempt(f, failureOfTarget, status, nil)
--- a/relay/look.go
+++ b/relay/look.go
@@ -53,7 +53,7 @@
 			f.interrupt(timeUp)
 		case gone(f):
 			f.interrupt(callerGone)
-		case f.route.Repeats():
+		case f.route.Retryable():
 			f.leaveLostTarget(now)
 		}
 	}
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -178,7 +178,7 @@
 func (s *stream) whole() {
 	s.err = io.EOF
 	s.flight.run.End(place.Answered)
-	s.flight.judge(rollout.Answer{Took: s.flight.sinceSent(), Size: float64(s.events + firstEventSize)})
+	s.flight.judge(rollout.Outcome{Duration: s.flight.sinceSent(), Size: float64(s.events + firstEventSize)})
 	s.flight.clear(s.body)
 	s.flight.finish(s.link, s.answer, s.body, s.sent)
 }
--- a/relay/version.go
+++ b/relay/version.go
@@ -16,7 +16,7 @@
 func (f *flight) chooseVersions(draw float64) {
 	if rollouts := f.server.options.Rollouts; rollouts != nil {
 		c := rollouts.Choose(f.service, draw)
-		f.versions = place.Versions{Only: c.Only, Not: c.Not, Strict: c.Strict}
+		f.versions = place.Versions{Only: c.Only, Not: c.Exclude, Strict: c.Strict}
 	}
 }
 
@@ -28,9 +28,9 @@
 }
 
 // judge takes an answer of the target of the current attempt.
-func (f *flight) judge(a rollout.Answer) {
+func (f *flight) judge(a rollout.Outcome) {
 	o := &f.server.options
-	if o.Rollouts != nil && o.Rollouts.Note(f.service, f.route.Name, f.run.Target.Version, a) {
+	if o.Rollouts != nil && o.Rollouts.Record(f.service, f.route.Name, f.run.Target.Version, a) {
 		o.Judged()
 	}
 }
@@ -42,7 +42,7 @@
 		return
 	}
 	if fail.Kind == target.Broken || fail.Kind == target.Crossed {
-		f.judge(rollout.Answer{Failed: true})
+		f.judge(rollout.Outcome{Failed: true})
 	}
 	if f.versions.Only != "" {
 		f.chooseVersions(1)
--- a/rollout/judge.go
+++ b/rollout/evaluate.go
@@ -49,9 +49,9 @@
 // condemns reports whether a version with a tally is worse than another one.
 func condemns(old, fresh Tally) bool {
 	bad := float64(fresh.bad())
-	usual := (float64(old.bad()) + 1) / (float64(old.Answers) + 50)
-	part := bad / float64(max(fresh.Answers, 1))
-	expected := usual * float64(fresh.Answers)
+	usual := (float64(old.bad()) + 1) / (float64(old.Requests) + 50)
+	part := bad / float64(max(fresh.Requests, 1))
+	expected := usual * float64(fresh.Requests)
 	return fresh.bad() >= leastBad && part > badRatio*usual && part > usual+badExcess && bad > expected+strength*math.Sqrt(max(expected, 1))
 }
 
@@ -72,8 +72,8 @@
 	return condemns(old, fresh)
 }
 
-// Verdict is a state that is to be written.
-type Verdict struct {
+// Evaluation is a state that is to be written.
+type Evaluation struct {
 	Order Order
 	State State
 	// Old and New are the answers that led to it.
@@ -82,17 +82,17 @@
 	OldRunning int
 }
 
-// Verdicts returns the state of each order as this router judges it now. A version that is
+// Evaluate returns the state of each order as this router judges it now. A version that is
 // found bad gets nothing more from this router from now on.
-func (s *Set) Verdicts() []Verdict {
+func (s *Set) Evaluate() []Evaluation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var list []Verdict
+	var list []Evaluation
 	for _, m := range s.moves {
 		if m.state == Running && m.isBad() {
 			s.settle(m, RolledBack)
 		}
-		v := Verdict{Order: m.order, State: m.state, Old: m.sum(false), New: m.sum(true), OldRunning: m.oldRunning()}
+		v := Evaluation{Order: m.order, State: m.state, Old: m.sum(false), New: m.sum(true), OldRunning: m.oldRunning()}
 		if m.state == Running && s.isDone(m, v) {
 			v.State = Complete
 		}
@@ -111,7 +111,7 @@
 
 // isDone reports whether the old targets are not needed any more: all requests go to the new
 // ones, and those at the old ones ended or have no more time.
-func (s *Set) isDone(m *move, v Verdict) bool {
+func (s *Set) isDone(m *move, v Evaluation) bool {
 	if s.share(m) < 1 {
 		return false
 	}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -81,31 +81,31 @@
 	leastAnswers = 20
 )
 
-// Answer is how one request ended at a target.
-type Answer struct {
+// Outcome is how one request ended at a target.
+type Outcome struct {
 	// Failed tells that the target failed.
 	Failed bool
-	// Took is the time of the answer, Size what it consisted of, such as events and one more;
+	// Duration is the time of the answer, Size what it consisted of, such as events and one more;
 	// answers of a route take about as long for their size.
-	Took time.Duration
-	Size float64
+	Duration time.Duration
+	Size     float64
 }
 
 // Choice is which targets of a service a request may go to.
 type Choice struct {
-	// Only is the version that it is to go to; Not the version that it must not.
-	Only, Not string
+	// Only is the version that it is to go to; Exclude the version that it must not.
+	Only, Exclude string
 	// Strict tells that nothing else will do: the version was rolled back.
 	Strict bool
 }
 
 // Tally counts the answers of a route by one version.
 type Tally struct {
-	Answers, Failures, Slow int
+	Requests, Failures, Slow int
 }
 
 func (t *Tally) add(o Tally) {
-	t.Answers += o.Answers
+	t.Requests += o.Requests
 	t.Failures += o.Failures
 	t.Slow += o.Slow
 }
@@ -212,11 +212,11 @@
 	case m.state == Complete:
 		return Choice{Only: m.order.Version}
 	case m.state == RolledBack:
-		return Choice{Not: m.order.Version, Strict: true}
+		return Choice{Exclude: m.order.Version, Strict: true}
 	case draw < s.share(m):
 		return Choice{Only: m.order.Version}
 	}
-	return Choice{Not: m.order.Version}
+	return Choice{Exclude: m.order.Version}
 }
 
 // completeFor is how long requests keep to the new version once that is complete: the old
@@ -227,7 +227,7 @@
 func (s *Set) share(m *move) float64 {
 	part := s.options.Clock.Since(m.order.At).Seconds() / m.order.Duration.Seconds()
 	first := steps[0].share * s.options.ExposeShare
-	if part < 0 || m.sum(true).Answers < leastAnswers {
+	if part < 0 || m.sum(true).Requests < leastAnswers {
 		return first
 	}
 	if part >= fullFrom {
@@ -262,9 +262,9 @@
 // slow.
 const slowFactor = 3
 
-// Note takes the answer of a target of some version. It reports whether it speaks against the
+// Record takes the answer of a target of some version. It reports whether it speaks against the
 // new one, so that others are to be told soon.
-func (s *Set) Note(service, route, version string, a Answer) (bad bool) {
+func (s *Set) Record(service, route, version string, a Outcome) (bad bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.moves[service]
@@ -277,9 +277,9 @@
 		usual = new(mean)
 		m.usual[route] = usual
 	}
-	pace := a.Took.Seconds() / max(a.Size, 1)
+	pace := a.Duration.Seconds() / max(a.Size, 1)
 	t := m.own.Tallies[key]
-	t.Answers++
+	t.Requests++
 	switch {
 	case a.Failed:
 		t.Failures++
@@ -317,9 +317,9 @@
 	return list
 }
 
-// Hear takes what another router, or a group of them, saw of an order. A state that never
+// Receive takes what another router, or a group of them, saw of an order. A state that never
 // changes is believed at once.
-func (s *Set) Hear(from string, c Counts) {
+func (s *Set) Receive(from string, c Counts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m := s.moves[c.Service]
@@ -332,9 +332,9 @@
 	}
 }
 
-// Overrule takes the state that stands in the store, also against what was found here: the
+// SetState takes the state that stands in the store, also against what was found here: the
 // old targets are stopped by it.
-func (s *Set) Overrule(service, version string, state State) {
+func (s *Set) SetState(service, version string, state State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if m := s.moves[service]; m != nil && m.order.Version == version {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -126,7 +126,7 @@
 				s.boundAt = s.clock.Now()
 			}
 		}
-		if set.Note("s", fmt.Sprint(route), to, Answer{Failed: failed, Took: took, Size: 1}) && i != s.dead {
+		if set.Record("s", fmt.Sprint(route), to, Outcome{Failed: failed, Duration: took, Size: 1}) && i != s.dead {
 			s.tell(i, set)
 		}
 	}})
@@ -155,7 +155,7 @@
 	for _, c := range set.Counts(nil) {
 		for j, other := range s.sets {
 			if j != i && j != s.dead {
-				other.Hear(fmt.Sprint(i), c)
+				other.Receive(fmt.Sprint(i), c)
 			}
 		}
 	}
@@ -167,7 +167,7 @@
 		if i == s.dead {
 			continue
 		}
-		for _, v := range set.Verdicts() {
+		for _, v := range set.Evaluate() {
 			if v.State.Final() && s.state == Running {
 				s.state, s.stateAt = v.State, s.clock.Since(began)
 			}
@@ -175,7 +175,7 @@
 	}
 	if s.state.Final() {
 		for _, set := range s.sets {
-			set.Overrule("s", "v2", s.state)
+			set.SetState("s", "v2", s.state)
 		}
 	}
 }
@@ -256,16 +256,16 @@
 	counts := func(state State) Counts {
 		return Counts{Service: "s", Version: "v2", Revision: revision.Revision{Count: 5}, State: state}
 	}
-	s.Hear("a", counts(Running))
-	assert.Equal(t, s.Choose("s", 0.99).Not, "v2")
-	s.Hear("a", counts(RolledBack))
-	s.Hear("a", counts(Complete))
-	assert.Equal(t, s.Choose("s", 0), Choice{Not: "v2", Strict: true})
+	s.Receive("a", counts(Running))
+	assert.Equal(t, s.Choose("s", 0.99).Exclude, "v2")
+	s.Receive("a", counts(RolledBack))
+	s.Receive("a", counts(Complete))
+	assert.Equal(t, s.Choose("s", 0), Choice{Exclude: "v2", Strict: true})
 	older := counts(Complete)
 	older.Revision.Count = 4
-	s.Hear("b", older)
-	assert.Equal(t, s.Verdicts()[0].State, RolledBack)
-	s.Overrule("s", "v2", Complete)
+	s.Receive("b", older)
+	assert.Equal(t, s.Evaluate()[0].State, RolledBack)
+	s.SetState("s", "v2", Complete)
 	assert.Equal(t, s.Choose("s", 0.99), Choice{Only: "v2"}, "the old targets are stopped")
 	s.options.Clock.(*clockwork.FakeClock).Advance(completeFor)
 	assert.Equal(t, s.Choose("s", 0.99), Choice{})
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -66,8 +66,8 @@
 	// Unreadable tells that the entry cannot be read, so that the target takes no new
 	// work. Of such an entry only ID and Revision are known.
 	Unreadable bool
-	// ColdLeft is how much longer the target is cold, as of its entry.
-	ColdLeft time.Duration
+	// WarmUpRemaining is how much longer the target is cold, as of its entry.
+	WarmUpRemaining time.Duration
 	// Revision is that of the last change of the entry.
 	Revision revision.Revision
 }
@@ -80,8 +80,8 @@
 	return t.ID + "@" + strconv.FormatInt(t.Started.UnixMilli(), 10)
 }
 
-// Departure is a run of a target that is gone.
-type Departure struct {
+// Termination is a run of a target that is gone.
+type Termination struct {
 	ID string
 	// Incarnation names the run.
 	Incarnation string
@@ -102,12 +102,12 @@
 // Options configure a roster.
 type Options struct {
 	Clock clockwork.Clock
-	// Return is how long targets may take to write their entries again after
+	// ReturnTimeout is how long targets may take to write their entries again after
 	// the table was away.
-	Return time.Duration
-	// Renewal is the time between two writes of a target. An entry that goes is
+	ReturnTimeout time.Duration
+	// RenewalInterval is the time between two writes of a target. An entry that goes is
 	// gone unless it is back by then.
-	Renewal time.Duration
+	RenewalInterval time.Duration
 }
 
 // Roster is the list of targets.
@@ -142,23 +142,23 @@
 	}
 }
 
-// Interrupted notes that the table cannot be followed.
-func (r *Roster) Interrupted() { r.away = true }
+// MarkDisconnected notes that the table cannot be followed.
+func (r *Roster) MarkDisconnected() { r.away = true }
 
-// Resumed notes that the table can be followed again.
-func (r *Roster) Resumed() {
+// MarkReconnected notes that the table can be followed again.
+func (r *Roster) MarkReconnected() {
 	if r.away {
 		r.away, r.catching = false, true
-		r.settled = r.options.Clock.Now().Add(r.options.Return)
+		r.settled = r.options.Clock.Now().Add(r.options.ReturnTimeout)
 	}
 }
 
-// CaughtUp notes that the changes made during an outage were taken.
-func (r *Roster) CaughtUp() { r.catching = false }
+// MarkSynced notes that the changes made during an outage were taken.
+func (r *Roster) MarkSynced() { r.catching = false }
 
-// Departure is that of a run that leaves or is gone at a revision of the table.
-func (t *Target) Departure(at revision.Revision) Departure {
-	return Departure{ID: t.ID, Incarnation: t.Incarnation(), Revision: at}
+// Termination is that of a run that leaves or is gone at a revision of the table.
+func (t *Target) Termination(at revision.Revision) Termination {
+	return Termination{ID: t.ID, Incarnation: t.Incarnation(), Revision: at}
 }
 
 // Get returns a target, nil if it is not known.
@@ -167,36 +167,36 @@
 // Put adds or changes an entry. Entries that are older than the known one and those of
 // an earlier incarnation are ignored. It returns the incarnation that ended by it, if
 // there was one.
-func (r *Roster) Put(t Target) (gone Departure, ended bool) {
+func (r *Roster) Put(t Target) (gone Termination, ended bool) {
 	r.latest = revision.Later(r.latest, t.Revision)
 	delete(r.copied, t.ID)
 	delete(r.withheld, t.ID)
 	return r.put(t)
 }
 
-func (r *Roster) put(t Target) (gone Departure, ended bool) {
+func (r *Roster) put(t Target) (gone Termination, ended bool) {
 	known := r.targets[t.ID]
 	switch {
 	case known == nil && t.Unreadable:
-		return Departure{}, false
+		return Termination{}, false
 	case known == nil:
 		r.set(&t)
-		return Departure{}, false
+		return Termination{}, false
 	case t.Revision.Before(known.Revision):
-		return Departure{}, false
+		return Termination{}, false
 	case t.Unreadable:
 		held := *known
 		held.Unreadable, held.Revision = true, t.Revision
 		t = held
 	case t.Started.Before(known.Started) && !t.Started.IsZero():
-		return Departure{}, false
+		return Termination{}, false
 	}
 	r.set(&t)
 	delete(r.doubted, t.ID)
 	if t.Incarnation() == known.Incarnation() {
-		return Departure{}, false
+		return Termination{}, false
 	}
-	return known.Departure(t.Revision), true
+	return known.Termination(t.Revision), true
 }
 
 // set makes t the entry of its target.
@@ -213,10 +213,10 @@
 }
 
 // putCopied takes an entry of a table that came back from a copy.
-func (r *Roster) putCopied(t Target) (gone Departure, ended bool) {
+func (r *Roster) putCopied(t Target) (gone Termination, ended bool) {
 	if until, ok := r.gone[t.Incarnation()]; ok && r.options.Clock.Now().Before(until) {
 		r.withheld[t.ID] = t
-		return Departure{}, false
+		return Termination{}, false
 	}
 	if known := r.targets[t.ID]; known != nil && known.Incarnation() == t.Incarnation() {
 		t.Draining = t.Draining || known.Draining
@@ -227,33 +227,33 @@
 
 // Remove notes that an entry went at a revision of the table, which was read some
 // time ago. It returns the target if it is gone; else the entry may have lapsed only.
-func (r *Roster) Remove(id string, at revision.Revision, age time.Duration) (gone Departure, left bool) {
+func (r *Roster) Remove(id string, at revision.Revision, age time.Duration) (gone Termination, left bool) {
 	delete(r.withheld, id)
 	t := r.targets[id]
 	if t == nil {
-		return Departure{}, false
+		return Termination{}, false
 	}
 	if t.Draining {
 		r.drop(id)
-		return t.Departure(at), true
+		return t.Termination(at), true
 	}
 	if _, ok := r.doubted[id]; ok {
-		return Departure{}, false
+		return Termination{}, false
 	}
-	until := r.options.Clock.Now().Add(r.options.Renewal - age)
+	until := r.options.Clock.Now().Add(r.options.RenewalInterval - age)
 	if r.catching {
 		// It went during the outage, so it has the whole time to come back.
 		until = r.settled
 	}
 	r.doubted[id] = doubt{until: until, revision: at}
-	return Departure{}, false
+	return Termination{}, false
 }
 
-// Leave notes that somebody else read at a revision of the table that a target
+// MarkDraining notes that somebody else read at a revision of the table that a target
 // is leaving or gone. It reports whether that was news. The caller knows that the word
 // is on the incarnation that runs. A word from before the table came back from a copy
 // counts as long as the target did not write since.
-func (r *Roster) Leave(id string, at revision.Revision) bool {
+func (r *Roster) MarkDraining(id string, at revision.Revision) bool {
 	t := r.targets[id]
 	if t == nil || t.Draining {
 		return false
@@ -279,18 +279,18 @@
 
 // Replace takes the whole table as of a revision; entries that are not in it went.
 // It returns the targets that are gone.
-func (r *Roster) Replace(entries []Target, at revision.Revision) []Departure {
+func (r *Roster) Replace(entries []Target, at revision.Revision) []Termination {
 	put := r.Put
 	if r.latest.OfEarlierEra(at) {
 		// Also the first table that is read, unless the store never came back from a copy:
 		// that may have been a moment ago.
 		put = r.putCopied
 		r.catching = true
-		r.settled = r.options.Clock.Now().Add(r.options.Return)
+		r.settled = r.options.Clock.Now().Add(r.options.ReturnTimeout)
 	}
 	r.latest = revision.Later(r.latest, at)
 	present := make(map[string]bool, len(entries))
-	var gone []Departure
+	var gone []Termination
 	for _, t := range entries {
 		present[t.ID] = true
 		if d, ended := put(t); ended {
@@ -311,7 +311,7 @@
 // Expire drops the entries that are still missing although the targets had
 // time to write them again, and returns them. Back tells that entries count again that a
 // copy of the table named although their targets were gone.
-func (r *Roster) Expire() (gone []Departure, back bool) {
+func (r *Roster) Expire() (gone []Termination, back bool) {
 	now := r.options.Clock.Now()
 	for incarnation, until := range r.gone {
 		if !now.Before(until) {
@@ -330,7 +330,7 @@
 	}
 	for id, d := range r.doubted {
 		if !now.Before(d.until) {
-			gone = append(gone, r.targets[id].Departure(d.revision))
+			gone = append(gone, r.targets[id].Termination(d.revision))
 			r.drop(id)
 		}
 	}
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -17,7 +17,7 @@
 
 func newTestRoster() (*Roster, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
-	r := New(Options{Clock: clock, Return: back, Renewal: renewal})
+	r := New(Options{Clock: clock, ReturnTimeout: back, RenewalInterval: renewal})
 	r.Replace([]Target{{ID: "a", Revision: at(1)}, {ID: "b", Revision: at(2)}}, at(2))
 	return r, clock
 }
@@ -25,7 +25,7 @@
 // at is a revision of the first era.
 func at(count uint64) revision.Revision { return revision.Revision{Count: count} }
 
-func expired(r *Roster) []Departure {
+func expired(r *Roster) []Termination {
 	gone, _ := r.Expire()
 	return gone
 }
@@ -52,14 +52,14 @@
 	clock.Advance(renewal / 2)
 	r.Put(Target{ID: "b", Revision: at(7)})
 	clock.Advance(renewal / 2)
-	assert.DeepEqual(t, expired(r), []Departure{{ID: "a", Incarnation: "a", Revision: at(3)}})
+	assert.DeepEqual(t, expired(r), []Termination{{ID: "a", Incarnation: "a", Revision: at(3)}})
 	assert.DeepEqual(t, ids(r), []string{"b"})
 }
 
 func TestEntryThatLapsedInAnOutageMayComeBack(t *testing.T) {
 	r, clock := newTestRoster()
-	r.Interrupted()
-	r.Resumed()
+	r.MarkDisconnected()
+	r.MarkReconnected()
 	r.Replace([]Target{{ID: "b", Revision: at(2)}}, at(8))
 	clock.Advance(back - time.Millisecond)
 	assert.Equal(t, len(expired(r)), 0)
@@ -72,13 +72,13 @@
 
 func TestEntryStillMissingAfterAnOutageIsGone(t *testing.T) {
 	r, clock := newTestRoster()
-	r.Interrupted()
+	r.MarkDisconnected()
 	clock.Advance(time.Minute)
-	r.Resumed()
+	r.MarkReconnected()
 	r.Replace([]Target{{ID: "b", Revision: at(2)}}, at(8))
 	assert.Equal(t, len(expired(r)), 0)
 	clock.Advance(back)
-	assert.DeepEqual(t, expired(r), []Departure{{ID: "a", Incarnation: "a", Revision: at(8)}})
+	assert.DeepEqual(t, expired(r), []Termination{{ID: "a", Incarnation: "a", Revision: at(8)}})
 	assert.DeepEqual(t, ids(r), []string{"b"})
 }
 
@@ -94,20 +94,20 @@
 // after it was back.
 func TestEntryThatGoesAfterAnOutageIsGoneSoon(t *testing.T) {
 	r, clock := newTestRoster()
-	r.Interrupted()
-	r.Resumed()
-	r.CaughtUp()
+	r.MarkDisconnected()
+	r.MarkReconnected()
+	r.MarkSynced()
 	clock.Advance(700 * time.Millisecond)
 	assert.Assert(t, !removed(r, "a", 3))
 	clock.Advance(renewal)
-	assert.DeepEqual(t, expired(r), []Departure{{ID: "a", Incarnation: "a", Revision: at(3)}})
+	assert.DeepEqual(t, expired(r), []Termination{{ID: "a", Incarnation: "a", Revision: at(3)}})
 }
 
 func TestDrainingEntryThatGoesIsGoneAtOnce(t *testing.T) {
 	r, _ := newTestRoster()
 	r.Put(Target{ID: "a", Revision: at(3), Draining: true})
-	r.Interrupted()
-	r.Resumed()
+	r.MarkDisconnected()
+	r.MarkReconnected()
 	assert.Assert(t, removed(r, "a", 3))
 	assert.DeepEqual(t, ids(r), []string{"b"})
 }
@@ -117,13 +117,13 @@
 // tell each other that the targets were leaving when they were back.
 func TestOtherRoutersWordIsTakenUntilTheEntryChanges(t *testing.T) {
 	r, _ := newTestRoster()
-	assert.Assert(t, !r.Leave("a", at(1)), "the entry is not older")
-	assert.Assert(t, r.Leave("a", at(5)))
-	assert.Assert(t, !r.Leave("a", at(5)) && !r.Leave("unknown", at(5)))
+	assert.Assert(t, !r.MarkDraining("a", at(1)), "the entry is not older")
+	assert.Assert(t, r.MarkDraining("a", at(5)))
+	assert.Assert(t, !r.MarkDraining("a", at(5)) && !r.MarkDraining("unknown", at(5)))
 	assert.Assert(t, r.Targets()[0].Draining)
 	r.Put(Target{ID: "a", Revision: at(9)})
 	assert.Assert(t, !r.Targets()[0].Draining)
-	assert.Assert(t, !r.Leave("a", at(5)))
+	assert.Assert(t, !r.MarkDraining("a", at(5)))
 }
 
 // run returns the entry of a run of a target that started some seconds after the first.
@@ -143,7 +143,7 @@
 	assert.Assert(t, !left)
 	gone, ended := r.Put(second)
 	assert.Assert(t, ended)
-	assert.Equal(t, gone, Departure{ID: "c", Incarnation: first.Incarnation(), Revision: at(9)})
+	assert.Equal(t, gone, Termination{ID: "c", Incarnation: first.Incarnation(), Revision: at(9)})
 	clock.Advance(renewal)
 	assert.Equal(t, len(expired(r)), 0, "the entry of the second run stands")
 	_, ended = r.Put(run("c", 2, 12))
@@ -172,7 +172,7 @@
 	first := run("c", 1, 5)
 	r.Put(first)
 	gone := r.Replace([]Target{{ID: "a", Revision: at(1)}, {ID: "b", Revision: at(2)}, run("c", 2, 9)}, at(9))
-	assert.DeepEqual(t, gone, []Departure{{ID: "c", Incarnation: first.Incarnation(), Revision: at(9)}})
+	assert.DeepEqual(t, gone, []Termination{{ID: "c", Incarnation: first.Incarnation(), Revision: at(9)}})
 	assert.Equal(t, len(r.Targets()), 3)
 }
 
@@ -249,8 +249,8 @@
 func TestWordFromBeforeTheCopyCounts(t *testing.T) {
 	r, _ := newTestRoster()
 	r.Replace([]Target{{ID: "a", Revision: inEra(1, 1)}, {ID: "b", Revision: inEra(1, 2)}}, inEra(1, 2))
-	assert.Assert(t, r.Leave("a", at(50)), "the copy lacks it")
-	assert.Assert(t, r.Leave("b", inEra(1, 3)))
+	assert.Assert(t, r.MarkDraining("a", at(50)), "the copy lacks it")
+	assert.Assert(t, r.MarkDraining("b", inEra(1, 3)))
 	r.Put(Target{ID: "a", Revision: inEra(1, 4)})
-	assert.Assert(t, !r.Leave("a", at(50)), "the target wrote since")
+	assert.Assert(t, !r.MarkDraining("a", at(50)), "the target wrote since")
 }
--- a/route/route.go
+++ b/route/route.go
@@ -75,8 +75,8 @@
 	weights int
 }
 
-// Repeats reports whether a request that may have run may be sent again.
-func (r *Route) Repeats() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
+// Retryable reports whether a request that may have run may be sent again.
+func (r *Route) Retryable() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
 
 // Pick returns a service by the weights of the splits. Draw returns a number
 // below its argument.
@@ -98,8 +98,8 @@
 type Engine struct {
 	// Slots is the number of requests that one engine runs at once.
 	Slots int
-	// MemoryTokens is the number of tokens that one engine keeps.
-	MemoryTokens int
+	// CacheTokens is the number of tokens that one engine keeps.
+	CacheTokens int
 	// CopyRate is the number of tokens a second whose memory one engine copies from
 	// another; 0 if engines do not copy.
 	CopyRate float64
@@ -112,9 +112,9 @@
 	// MaxConns is the number of connections that one target accepts from all
 	// routers together.
 	MaxConns int
-	// ColdRate is the number of requests a second that a target bears just after
+	// WarmUpRate is the number of requests a second that a target bears just after
 	// its start; 0 if it bears as many as later.
-	ColdRate float64
+	WarmUpRate float64
 	// Engine is nil for plain services.
 	Engine *Engine
 }
@@ -139,9 +139,9 @@
 	TokensPerSecond float64
 }
 
-// MadeTokenCost is the cost of a token made, in tokens read, as the deployment
+// OutputTokenCost is the cost of a token made, in tokens read, as the deployment
 // states its rate.
-const MadeTokenCost = 2
+const OutputTokenCost = 2
 
 // Spec is the content of a table before it was checked.
 type Spec struct {
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -194,7 +194,7 @@
 // put writes a row at a new version. The version of the store must have grown
 // before.
 func (s *Store) put(r wire.Row) {
-	r.Ver, r.Gone = s.version, false
+	r.Ver, r.Removed = s.version, false
 	s.rows[id{r.Table, r.Part, r.Key}] = r
 }
 
@@ -204,7 +204,7 @@
 		return
 	}
 	delete(s.rows, name)
-	s.removed = append(s.removed, wire.Row{Table: r.Table, Key: r.Key, Ver: s.version, Gone: true})
+	s.removed = append(s.removed, wire.Row{Table: r.Table, Key: r.Key, Ver: s.version, Removed: true})
 }
 
 // grow begins a change: it moves the version and wakes the feeds.
