--- a/place/query.go
+++ b/place/query.go
@@ -106,7 +106,7 @@
 	if s.engine != nil {
 		a.LatencyModel = s.speed.LatencyModel
 		pr := prompt{shared: q.PrefixParts, sizes: q.PartTokens, total: max(q.PromptTokens, 1)}
-		a.PrefillTokens = pr.unread(&t.kept, s.engine.MemoryTokens, q.FirstHome && t.warm(now))
+		a.PrefillTokens = pr.unread(&t.kept, s.engine.CacheTokens, q.FirstHome && t.warm(now))
 	}
 	return a, true
 }
