--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -33,8 +33,8 @@
 }
 
 var (
-	errNotLeading   = eris.New("this router does not serve the store's tables to others")
-	errUnknownTable = eris.New("unknown table")
+	errNotLeading   = eris.New("this router does not follow the store for others")
+	errUnknownTable = eris.New("table is not followed")
 )
 
 // tableLogs hold what this router reads of the tables that it follows, by table.
