--- a/presence/norace_test.go
+++ b/presence/norace_test.go
@@ -2,5 +2,5 @@
 
 package presence
 
-// largest is the size of the largest simulated fleet that is played in full.
+// largest is the size of the largest simulated fleet of the tests.
 const largest = 1000
--- a/presence/presence.go
+++ b/presence/presence.go
@@ -1,19 +1,21 @@
-// Package presence finds out which routers of a large fleet are there.
+// Package presence detects which routers of a large fleet are reachable.
 //
-// Heartbeats of all to all cost each router as much as there are routers, or come so rarely
-// that a router that ends is noticed after half a minute. Here each router sends heartbeats
-// to the relays of its cell alone (package feed), which report the routers of the cell that
-// they do not hear to the leaders of their data centre; leaders tell each other, and the
-// relays, which tell their cells. What a router sends and hears depends on the size of cells
-// and data centres, and on what happens; a router that ends is known to all after some
-// heartbeats and four reports, and reports are repeated, so that lost ones only cost time.
+// If each router sent heartbeats to all others, their cost would grow with the number of routers,
+// or they would be so rare that a failure is detected only after half a minute. Instead each router
+// sends heartbeats only to the relays of its cell (package feed). Relays report the routers of the
+// cell from which they receive no heartbeats to the leaders of their data centre. Leaders send
+// reports to each other and to the relays, and the relays to their cells. What a router sends and
+// receives depends on the size of cells and data centres and on the number of changes. All routers
+// know of a failure after some heartbeats and four reports. Reports are repeated, so that a lost
+// report only delays detection.
 //
 //	member --heartbeat--> relays --report--> leaders <--report--> leaders of other data centres
 //	member <---report---- relays <--report-- leaders
 //
-// Relays and leaders follow from names, so that nobody is elected. Three of each report the
-// same; a router is gone that none of them hears. Who hears no reports for some time takes
-// it that those are gone that should send them, and goes on to the next.
+// Relays and leaders are derived from the names of the routers, so that no election is needed.
+// Three relays, and three leaders, report the same; a router counts as failed if none of them
+// receives its heartbeats. A router that receives no reports for some time assumes that the senders
+// of its reports have failed, and uses the next ones.
 //
 // The package has no I/O. The control loop owns a Node.
 //
@@ -21,14 +23,14 @@
 //
 //	n := presence.New(presence.Options{Host: name, DataCentre: dc, Clock: clock, Members: table, Random: random})
 //	n.SetRole(feed.RoleOf(...))
-//	for _, m := range n.Due() { ... }  // on every tick: what to send to whom
-//	reply := n.Receive(host, message) // what came from a router
-//	changed := n.Apply()               // on every tick: makes it known to Members
+//	for _, m := range n.Due() { ... } // on every tick: the messages to send
+//	reply := n.Receive(host, message)  // a message from a router
+//	changed := n.Apply()               // on every tick: updates Members
 //
 // # Limits
 //
-// A router that cannot be reached by its relays is taken for gone by all, also by those that
-// could reach it. A data centre from which no reports come is gone after ReportTTL.
+// A router that its relays cannot reach counts as failed for all routers, even for those that could
+// reach it. A data centre from which no reports arrive counts as failed after ReportTTL.
 package presence
 
 import (
@@ -46,50 +48,52 @@
 )
 
 const (
-	// beatEvery is the time between heartbeats, and between reports without a change.
-	beatEvery = 280 * time.Millisecond
-	// beatSpread is the part of it by which two may be closer or further apart.
-	beatSpread = 0.1
-	// pushAfter is the least time between reports when something changed.
-	pushAfter = 100 * time.Millisecond
-	// silentAfter is the time without heartbeats or reports after which a router is gone.
-	silentAfter = 5 * beatEvery
-	// DataCentreTimeout is the time after which a data centre seems cut off from which
-	// nothing was heard: word of its leaders takes two reports more than one of them, and one
-	// may be lost.
-	DataCentreTimeout = 4 * beatEvery
-	// togetherWithin is the time within which reports count together.
-	togetherWithin = 2 * beatEvery
-	// ReportTTL is the time after which reports say nothing any more.
-	ReportTTL = 13 * beatEvery
-	// searched is the number of routers, drawn by chance, to which a leader turns in a data
-	// centre from which nothing comes.
-	searched = 2
-	// mostReplies bounds the answers to routers that turn to the wrong one, in each period.
-	mostReplies = 16
+	// heartbeatInterval is the time between heartbeats, and between reports without a change.
+	heartbeatInterval = 280 * time.Millisecond
+	// heartbeatJitter is the fraction of heartbeatInterval by which an interval may vary.
+	heartbeatJitter = 0.1
+	// minReportInterval is the minimum time between reports when something changed.
+	minReportInterval = 100 * time.Millisecond
+	// failureTimeout is the time without heartbeats or reports after which a router has failed.
+	failureTimeout = 5 * heartbeatInterval
+	// DataCentreTimeout is the time after the last message from a data centre after which it counts
+	// as cut off. Information from its leaders passes through two more reports than that of a
+	// single router, and one of them may be lost.
+	DataCentreTimeout = 4 * heartbeatInterval
+	// mergeWindow is the maximum age difference of reports that are merged.
+	mergeWindow = 2 * heartbeatInterval
+	// ReportTTL is the age at which reports expire.
+	ReportTTL = 13 * heartbeatInterval
+	// randomCandidates is the number of randomly chosen routers to which a leader sends reports in
+	// a data centre from which none arrive.
+	randomCandidates = 2
+	// maxReplies bounds the replies to routers that sent a report to a router that does not lead,
+	// in each heartbeat interval.
+	maxReplies = 16
 )
 
-// Kind says on which way a message is, and so what its sums are of.
+// Kind is the kind of a message. It determines what its reports and totals cover.
 type Kind int
 
-// The scopes.
+// The kinds of messages.
 const (
-	// Heartbeat is a heartbeat to the relays of the own cell.
+	// Heartbeat is a heartbeat to the relays of the sender's cell.
 	Heartbeat Kind = iota
-	// CellReport is a report of a cell to the leaders of its data centre.
+	// CellReport is a report on a cell to the leaders of its data centre.
 	CellReport
-	// DataCentreReport is a report of a data centre to the leaders of others.
+	// DataCentreReport is a report on a data centre to the leaders of the others.
 	DataCentreReport
-	// FleetReport is a report of the whole fleet to those who follow.
+	// FleetReport is a report on the whole fleet to the routers that follow the sender.
 	FleetReport
 )
 
-// Message is to be sent to some routers.
+// Message is a message to be sent to some routers.
 type Message struct {
 	Kind    Kind
 	To      []netip.AddrPort
 	Reports []Report
-	// LastSeen is when a router of each data centre was last heard; in reports down only.
+	// LastSeen is when a router of each data centre was last known to be reachable; only fleet
+	// reports carry it.
 	LastSeen map[string]time.Time
 }
 
@@ -102,51 +106,54 @@
 	Random     *rand.Rand
 }
 
-// Node is one router's part.
+// Node is one router's part in failure detection.
 type Node struct {
 	options Options
 	role    feed.Role
 	// known is the number of known routers of the data centre, this one included.
-	known int
-	board board
-	// serves and leads are since when this router does so; zero if it does not.
-	serves, leads time.Time
-	// reported is when the last report came down, or those that should send it were given
-	// up.
-	reported time.Time
-	// givenUp is when that was done.
-	givenUp time.Time
-	// relays are those of the own cell since a time.
+	known       int
+	cellReports reportSet
+	// servesSince and leadsSince are the times since which this router serves or leads; zero if it
+	// does not.
+	servesSince, leadsSince time.Time
+	// lastFleetReport is when the last fleet report arrived, or when the routers that should have
+	// sent it were last marked as failed.
+	lastFleetReport time.Time
+	// lastGivenUp is when routers that should have sent a fleet report were last marked as failed.
+	lastGivenUp time.Time
+	// relays are the relays of this router's cell since relaysSince.
 	relays      []string
 	relaysSince time.Time
-	// last and next are when messages were sent and are due again; changed tells that there
-	// is something new to say.
-	last, next time.Time
-	changed    bool
-	said       []Report
-	replies    int
-	// lastSeen is when a router of each data centre was last lastSeen, by this router or by those
-	// that report to it.
+	// lastSent is when messages were last sent, nextDue when they are due again; changed is set if
+	// there are changes to report.
+	lastSent, nextDue time.Time
+	changed           bool
+	applied           []Report
+	replies           int
+	// lastSeen is when a router of each data centre was last known to be reachable, from messages
+	// to this router or from the reports that it received.
 	lastSeen map[string]time.Time
 }
 
-// New returns a node that knows nothing of others yet.
+// New returns a node that knows no other routers yet.
 func New(o Options) *Node {
-	return &Node{options: o, board: newBoard(), reported: o.Clock.Now(), role: feed.Role{Leads: true, Serves: true}, known: 1, lastSeen: make(map[string]time.Time)}
+	return &Node{options: o, cellReports: newReportSet(), lastFleetReport: o.Clock.Now(), role: feed.Role{Leads: true, Serves: true}, known: 1, lastSeen: make(map[string]time.Time)}
 }
 
-// SetRole takes the router's role in its data centre, of which so many routers are known.
+// SetRole sets the router's role in its data centre. Known is the number of known routers there,
+// this one included.
 func (n *Node) SetRole(role feed.Role, known int) {
 	now := n.options.Clock.Now()
 	if role.Serves && !n.role.Serves || role.Leads && !n.role.Leads {
-		n.board = newBoard() // what others made of older reports would count beside new ones
+		n.cellReports = newReportSet() // older reports of others would be merged with new ones
 	}
 	n.role, n.known = role, known
-	n.serves = since(role.Serves, n.serves, now)
-	n.leads = since(role.Leads, n.leads, now)
+	n.servesSince = since(role.Serves, n.servesSince, now)
+	n.leadsSince = since(role.Leads, n.leadsSince, now)
 }
 
-// since is from when something holds that holds now or not.
+// since returns the start of a condition: the zero time if it does not hold, now if it began to
+// hold, and before if it continues to hold.
 func since(holds bool, before, now time.Time) time.Time {
 	switch {
 	case !holds:
@@ -160,37 +167,37 @@
 // Due returns the messages that are due now.
 func (n *Node) Due() []Message {
 	now := n.options.Clock.Now()
-	n.board.drop(now.Add(-ReportTTL))
-	n.look(now)
-	n.suspect(now)
-	if now.Before(n.next) && (!n.changed || now.Sub(n.last) < pushAfter) {
+	n.cellReports.drop(now.Add(-ReportTTL))
+	n.observeCell(now)
+	n.failSilentSenders(now)
+	if now.Before(n.nextDue) && (!n.changed || now.Sub(n.lastSent) < minReportInterval) {
 		return nil
 	}
-	n.last, n.next, n.changed, n.replies = now, now.Add(n.period()), false, 0
+	n.lastSent, n.nextDue, n.changed, n.replies = now, now.Add(n.period()), false, 0
 	return n.Messages()
 }
 
-// Messages returns the messages as they are now, whether they are due or not.
+// Messages returns the current messages, whether they are due or not.
 func (n *Node) Messages() []Message {
 	list := []Message{{Kind: Heartbeat, To: addresses(n.hosts(n.role.Relays))}}
 	if n.role.Serves {
-		list = append(list, n.reports()...)
+		list = append(list, n.reportMessages()...)
 	}
 	return slices.DeleteFunc(list, func(m Message) bool { return len(m.To) == 0 })
 }
 
 func (n *Node) period() time.Duration {
-	spread := 1 + beatSpread*(2*n.options.Random.Float64()-1)
-	return time.Duration(spread * float64(beatEvery))
+	spread := 1 + heartbeatJitter*(2*n.options.Random.Float64()-1)
+	return time.Duration(spread * float64(heartbeatInterval))
 }
 
-// reports returns those of a relay or leader.
-func (n *Node) reports() []Message {
-	list := []Message{n.down(addresses(n.followers()))}
-	// What the leaders of the data centre are told is what this router heard itself: they
-	// find out together who is gone, and would else hear their own words again.
+// reportMessages returns the messages of a relay or leader.
+func (n *Node) reportMessages() []Message {
+	list := []Message{n.fleetReport(addresses(n.followers()))}
+	// The leaders of the data centre receive only what this router observed itself: they derive
+	// together which routers failed, and would otherwise receive their own reports again.
 	var own []Report
-	if r, ok := n.board.reports[n.cell()][n.options.Host]; ok {
+	if r, ok := n.cellReports.byCell[n.cell()][n.options.Host]; ok {
 		own = append(own, r)
 	}
 	list = append(list, Message{Kind: CellReport, To: addresses(n.leaders(n.options.DataCentre)), Reports: own})
@@ -203,34 +210,35 @@
 			continue
 		}
 		others = append(others, n.leaders(dc)...)
-		if !n.hears(dc) {
-			others = append(others, n.search(dc)...)
+		if !n.hasReportsOn(dc) {
+			others = append(others, n.candidateLeaders(dc)...)
 		}
 	}
-	return append(list, Message{Kind: DataCentreReport, To: addresses(others), Reports: n.board.all(n.options.DataCentre)})
+	return append(list, Message{Kind: DataCentreReport, To: addresses(others), Reports: n.cellReports.all(n.options.DataCentre)})
 }
 
-// down is a report of the whole fleet.
-func (n *Node) down(to []netip.AddrPort) Message {
-	return Message{Kind: FleetReport, To: to, Reports: n.board.all(""), LastSeen: maps.Clone(n.lastSeen)}
+// fleetReport returns a report on the whole fleet.
+func (n *Node) fleetReport(to []netip.AddrPort) Message {
+	return Message{Kind: FleetReport, To: to, Reports: n.cellReports.all(""), LastSeen: maps.Clone(n.lastSeen)}
 }
 
-// cell is that of this router.
+// cell returns the cell of this router.
 func (n *Node) cell() Cell {
 	of := feed.CellCount(n.known)
 	return Cell{DataCentre: n.options.DataCentre, Number: feed.CellOf(n.options.Host, of), Cells: of}
 }
 
-// CellName names the cell of a router in a data centre of which so many are known.
+// CellName returns the name of a router's cell in a data centre with the given number of known
+// routers.
 func CellName(host string, known int) string {
 	of := feed.CellCount(known)
 	return strconv.Itoa(feed.CellOf(host, of)) + "/" + strconv.Itoa(of)
 }
 
-// look looks at the cell that this router is a relay of. It says nothing of it before its
-// routers had time to find out that it is.
-func (n *Node) look(now time.Time) {
-	if n.serves.IsZero() || now.Sub(n.serves) < silentAfter {
+// observeCell records a report on the cell that this router is a relay of. It makes none until the
+// cell's routers had time to detect that this router is their relay.
+func (n *Node) observeCell(now time.Time) {
+	if n.servesSince.IsZero() || now.Sub(n.servesSince) < failureTimeout {
 		return
 	}
 	cell := n.cell()
@@ -239,7 +247,7 @@
 		if h.DataCentre != cell.DataCentre || feed.CellOf(h.Name, cell.Cells) != cell.Number {
 			continue
 		}
-		if now.Sub(latest(h.LastHeartbeat, h.Discovered, n.serves)) >= silentAfter {
+		if now.Sub(latest(h.LastHeartbeat, h.Discovered, n.servesSince)) >= failureTimeout {
 			r.Failed = append(r.Failed, h.Key)
 		}
 		if h.Leaving {
@@ -248,110 +256,113 @@
 	}
 	slices.Sort(r.Failed)
 	slices.Sort(r.Leaving)
-	n.board.put(n.options.Host, r)
+	n.cellReports.put(n.options.Host, r)
 }
 
-// suspect takes routers for gone that should have sent reports: for a router that is no relay
-// the one that reports to it, and all relays if nothing comes from the others either.
-func (n *Node) suspect(now time.Time) {
-	if !n.leads.IsZero() {
-		n.giveUp(n.leaders(n.options.DataCentre), n.leads, now)
+// failSilentSenders marks routers as failed that should have sent reports: for a router that is not
+// a relay, first the one that reports to it, and then all relays if no reports arrive from the
+// others either.
+func (n *Node) failSilentSenders(now time.Time) {
+	if !n.leadsSince.IsZero() {
+		n.markFailed(n.leaders(n.options.DataCentre), n.leadsSince, now)
 		return
 	}
-	if now.Sub(n.reported) < silentAfter {
+	if now.Sub(n.lastFleetReport) < failureTimeout {
 		return
 	}
-	first := now.Sub(n.givenUp) >= 2*silentAfter
-	n.reported, n.givenUp = now, now
+	first := now.Sub(n.lastGivenUp) >= 2*failureTimeout
+	n.lastFleetReport, n.lastGivenUp = now, now
 	switch {
 	case n.role.Serves:
-		n.giveUp(n.leaders(n.options.DataCentre), time.Time{}, now)
+		n.markFailed(n.leaders(n.options.DataCentre), time.Time{}, now)
 	case first && len(n.role.Sources) > 0:
-		n.giveUp(n.hosts(n.role.Sources[:1]), time.Time{}, now)
+		n.markFailed(n.hosts(n.role.Sources[:1]), time.Time{}, now)
 	default:
-		n.giveUp(n.hosts(n.role.Relays), time.Time{}, now)
+		n.markFailed(n.hosts(n.role.Relays), time.Time{}, now)
 	}
 }
 
-// giveUp takes routers for gone that are not heard, nor had time to be heard since.
-func (n *Node) giveUp(hosts []*member.Host, since, now time.Time) {
+// markFailed marks routers as failed from which no heartbeats arrive and that had time to send one
+// since the given time.
+func (n *Node) markFailed(hosts []*member.Host, since, now time.Time) {
 	for _, h := range hosts {
-		if now.Sub(latest(h.LastHeartbeat, h.Discovered, since)) >= silentAfter {
+		if now.Sub(latest(h.LastHeartbeat, h.Discovered, since)) >= failureTimeout {
 			n.options.Members.RecordReport(h, false, h.Leaving, now)
 		}
 	}
 }
 
-// Receive takes a message of another router; To does not count. It returns what to answer: a
-// router that turns to one that does not lead learns from it who does.
+// Receive handles a message from another router; it ignores Message.To. It returns the reply, if
+// any: a router that sent a report to one that does not lead learns from the reply which routers
+// lead.
 func (n *Node) Receive(from *member.Host, m Message) (reply *Message) {
 	now := n.options.Clock.Now()
-	n.hear(from.DataCentre, now)
+	n.recordSeen(from.DataCentre, now)
 	for dc, at := range m.LastSeen {
-		n.hear(dc, at)
+		n.recordSeen(dc, at)
 	}
 	for _, r := range m.Reports {
-		if m.Kind == FleetReport && n.role.Leads && len(n.board.reports[r.Cell]) > 0 {
-			continue // made of what leaders said, this one among them
+		if m.Kind == FleetReport && n.role.Leads && len(n.cellReports.byCell[r.Cell]) > 0 {
+			continue // derived from the reports of leaders, this one included
 		}
-		n.board.put(from.Name, r)
+		n.cellReports.put(from.Name, r)
 	}
 	if m.Kind == FleetReport {
-		n.reported = now
+		n.lastFleetReport = now
 	}
-	if (m.Kind == CellReport || m.Kind == DataCentreReport) && !n.role.Leads && n.replies < mostReplies {
+	if (m.Kind == CellReport || m.Kind == DataCentreReport) && !n.role.Leads && n.replies < maxReplies {
 		n.replies++
-		answer := n.down([]netip.AddrPort{from.Peer})
+		answer := n.fleetReport([]netip.AddrPort{from.Peer})
 		return &answer
 	}
 	return nil
 }
 
-func (n *Node) hear(dataCentre string, at time.Time) {
+func (n *Node) recordSeen(dataCentre string, at time.Time) {
 	if n.lastSeen[dataCentre].Before(at) {
 		n.lastSeen[dataCentre] = at
 	}
 }
 
-// Apply makes the reports known to Members, and reports whether something changed.
+// Apply records the merged reports in Members, and reports whether any member changed.
 func (n *Node) Apply() (changed bool) {
-	all := n.board.all("")
-	if !slices.EqualFunc(all, n.said, sameWord) {
+	all := n.cellReports.all("")
+	if !slices.EqualFunc(all, n.applied, sameContent) {
 		n.changed = true
 	}
-	n.said = all
+	n.applied = all
 	byCell := make(map[Cell]*Report, len(all))
-	of := make(map[string][]int)
+	cellCounts := make(map[string][]int)
 	for i := range all {
 		r := &all[i]
 		byCell[r.Cell] = r
-		if dc := r.Cell.DataCentre; !slices.Contains(of[dc], r.Cell.Cells) {
-			of[dc] = append(of[dc], r.Cell.Cells)
+		if dc := r.Cell.DataCentre; !slices.Contains(cellCounts[dc], r.Cell.Cells) {
+			cellCounts[dc] = append(cellCounts[dc], r.Cell.Cells)
 		}
 	}
 	for _, h := range n.options.Members.Hosts() {
 		var best *Report
-		for _, cells := range of[h.DataCentre] {
+		for _, cells := range cellCounts[h.DataCentre] {
 			r := byCell[Cell{DataCentre: h.DataCentre, Number: feed.CellOf(h.Name, cells), Cells: cells}]
 			if r != nil && (best == nil || best.At.Before(r.At)) {
 				best = r
 			}
 		}
-		if best != nil && n.options.Members.RecordReport(h, !has(best.Failed, h.Key), has(best.Leaving, h.Key), best.At) {
+		if best != nil && n.options.Members.RecordReport(h, !contains(best.Failed, h.Key), contains(best.Leaving, h.Key), best.At) {
 			changed = true
 		}
 	}
 	return changed
 }
 
-// LastSeen returns when a router of each data centre was last heard.
+// LastSeen returns when a router of each data centre was last known to be reachable.
 func (n *Node) LastSeen() map[string]time.Time { return maps.Clone(n.lastSeen) }
 
-func sameWord(a, b Report) bool {
+func sameContent(a, b Report) bool {
 	return a.Cell == b.Cell && slices.Equal(a.Failed, b.Failed) && slices.Equal(a.Leaving, b.Leaving)
 }
 
-func has(keys []uint64, key uint64) bool {
+func contains(keys []uint64, key uint64) bool {
 	_, ok := slices.BinarySearch(keys, key)
 	return ok
 }
--- a/presence/presence_test.go
+++ b/presence/presence_test.go
@@ -17,14 +17,13 @@
 )
 
 const (
-	// tick is the time between looks of the simulated routers, and for which a datagram is
-	// on its way.
+	// tick is the time between ticks of the simulated routers, and the transit time of a datagram.
 	tick = 100 * time.Millisecond
-	// inFull is the number of routers of each cell, by name, that are simulated in full, so
-	// that they can become relays. The others only send heartbeats.
-	inFull = 9
-	// knownWithin is the time by which all know that a router is gone or back.
-	knownWithin = 3 * time.Second
+	// fullPerCell is the number of routers of each cell, first by name, that are simulated in full,
+	// so that they can become relays. The others only send heartbeats.
+	fullPerCell = 9
+	// convergenceTime is the time by which all routers know that a router has failed or recovered.
+	convergenceTime = 3 * time.Second
 )
 
 // router is a simulated router. Node and table are nil for those that only send heartbeats.
@@ -42,20 +41,20 @@
 	sent, received int
 }
 
-// fleet is a simulated fleet on a clock of its own.
+// fleet is a simulated fleet with its own clock.
 type fleet struct {
 	t       *testing.T
 	clock   *clockwork.FakeClock
 	random  *rand.Rand
 	routers []*router
-	at      map[netip.AddrPort]*router
+	byPeer  map[netip.AddrPort]*router
 	byName  map[string]*router
-	// lost is the part of the datagrams that are lost, cut a data centre that is cut off.
-	lost float64
-	cut  string
-	// queue holds what is on its way.
-	queue []datagram
-	// sample is a router in full of each cell that is no relay at first.
+	// lossRate is the fraction of datagrams that are lost, cut a data centre that is cut off.
+	lossRate float64
+	cut      string
+	// inFlight holds the datagrams in transit.
+	inFlight []datagram
+	// sample is a fully simulated router of each cell that is not a relay at first.
 	sample map[Cell]*router
 }
 
@@ -64,12 +63,11 @@
 	message  Message
 }
 
-// newFleet returns a fleet of five data centres with so many routers in all, which know each
-// other from the store.
+// newFleet returns a fleet of five data centres with n routers in total.
 func newFleet(t *testing.T, n int, seed uint64) *fleet {
 	f := &fleet{
 		t: t, clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, seed)),
-		at: make(map[netip.AddrPort]*router), byName: make(map[string]*router), sample: make(map[Cell]*router),
+		byPeer: make(map[netip.AddrPort]*router), byName: make(map[string]*router), sample: make(map[Cell]*router),
 	}
 	cells := make(map[Cell]int)
 	for i := range n {
@@ -78,10 +76,10 @@
 			peer: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000),
 		}
 		f.routers = append(f.routers, r)
-		f.at[r.peer], f.byName[r.name] = r, r
+		f.byPeer[r.peer], f.byName[r.name] = r, r
 		cell := f.cellOf(r, n)
 		cells[cell]++
-		if cells[cell] <= inFull {
+		if cells[cell] <= fullPerCell {
 			f.start(r)
 			f.sample[cell] = r
 		}
@@ -94,14 +92,14 @@
 	return Cell{DataCentre: r.dataCentre, Number: feed.CellOf(r.name, of), Cells: of}
 }
 
-// start gives a router its node, which knows all others.
+// start gives a router a new node with an empty member table.
 func (f *fleet) start(r *router) {
 	r.table = member.New(member.Options{Self: r.name, Clock: f.clock, Timeout: ReportTTL})
 	r.node = New(Options{Host: r.name, DataCentre: r.dataCentre, Clock: f.clock, Members: r.table, Random: f.random})
 }
 
-// learnAll makes all routers known to all.
-func (f *fleet) learnAll() {
+// introduceAll adds all routers to the member tables of all others, as the store would.
+func (f *fleet) introduceAll() {
 	for _, r := range f.routers {
 		if r.node == nil {
 			continue
@@ -112,7 +110,7 @@
 	}
 }
 
-// run lets time pass.
+// run advances the time by d.
 func (f *fleet) run(d time.Duration) {
 	for range d / tick {
 		f.clock.Advance(tick)
@@ -121,16 +119,16 @@
 			switch {
 			case r.ended:
 			case r.node != nil:
-				f.look(r)
-			case (i+int(f.clock.Now().UnixMilli()/tick.Milliseconds()))%int(beatEvery/tick) == 0: // a little more often
-				f.beat(r)
+				f.tickRouter(r)
+			case (i+int(f.clock.Now().UnixMilli()/tick.Milliseconds()))%int(heartbeatInterval/tick) == 0: // a little more often
+				f.sendHeartbeat(r)
 			}
 		}
 	}
 }
 
-// look is what the control loop of a router does.
-func (f *fleet) look(r *router) {
+// tickRouter does what the control loop of a router does on a tick.
+func (f *fleet) tickRouter(r *router) {
 	r.table.Expire()
 	r.node.Apply()
 	f.findRole(r)
@@ -139,15 +137,15 @@
 	}
 }
 
-// roleEvery is the time between looks of a router at its role.
-const roleEvery = 500 * time.Millisecond
+// roleInterval is the time between updates of a router's role.
+const roleInterval = 500 * time.Millisecond
 
 func (f *fleet) findRole(r *router) {
 	now := f.clock.Now()
 	if now.Before(r.nextRole) {
 		return
 	}
-	r.nextRole = now.Add(roleEvery)
+	r.nextRole = now.Add(roleInterval)
 	var own []string
 	known := 1
 	for _, h := range r.table.Hosts() {
@@ -155,7 +153,7 @@
 			continue
 		}
 		known++
-		if here(h) && !h.Leaving {
+		if presumedReachable(h) && !h.Leaving {
 			own = append(own, h.Name)
 		}
 	}
@@ -163,9 +161,9 @@
 	r.node.SetRole(r.role, known)
 }
 
-// beat sends a heartbeat of a router that is not simulated in full to the relays that
-// another one of its cell knows.
-func (f *fleet) beat(r *router) {
+// sendHeartbeat sends the heartbeat of a router that is not simulated in full to the relays that
+// the sample router of its cell knows.
+func (f *fleet) sendHeartbeat(r *router) {
 	sample := f.sample[f.cellOf(r, len(f.routers))]
 	cell := append(slices.Clone(sample.role.Cell), sample.name)
 	slices.Sort(cell)
@@ -178,19 +176,19 @@
 
 func (f *fleet) send(r *router, m Message) {
 	for _, addr := range m.To {
-		to := f.at[addr]
+		to := f.byPeer[addr]
 		r.sent++
 		away := (r.dataCentre == f.cut) != (to.dataCentre == f.cut)
-		if f.random.Float64() < f.lost || away {
+		if f.random.Float64() < f.lossRate || away {
 			continue
 		}
-		f.queue = append(f.queue, datagram{from: r, to: to, message: m})
+		f.inFlight = append(f.inFlight, datagram{from: r, to: to, message: m})
 	}
 }
 
 func (f *fleet) deliver() {
-	queue := f.queue
-	f.queue = nil
+	queue := f.inFlight
+	f.inFlight = nil
 	for _, d := range queue {
 		if d.to.ended || d.to.node == nil {
 			continue
@@ -210,9 +208,9 @@
 	}
 }
 
-// wrong returns how many of the others each of the routers that run takes for something that
-// they are not, at most, and in sum.
-func (f *fleet) wrong() (most, sum int) {
+// wrongBeliefs returns the number of other routers whose state a running router has wrong: the
+// maximum over all routers, and the sum.
+func (f *fleet) wrongBeliefs() (most, sum int) {
 	for _, r := range f.routers {
 		if r.ended || r.node == nil {
 			continue
@@ -230,24 +228,24 @@
 	return most, sum
 }
 
-// agrees fails the test unless all know who is there.
-func (f *fleet) agrees(what string) {
+// assertAgreement fails the test unless all routers know which routers are reachable.
+func (f *fleet) assertAgreement(what string) {
 	f.t.Helper()
-	most, sum := f.wrong()
+	most, sum := f.wrongBeliefs()
 	assert.Equal(f.t, most, 0, "%s: %d wrong beliefs in sum", what, sum)
 }
 
-// newRunning returns a fleet that has found itself.
-func newRunning(t *testing.T, n int, seed uint64) *fleet {
+// newConvergedFleet returns a fleet whose routers all know the state of the others.
+func newConvergedFleet(t *testing.T, n int, seed uint64) *fleet {
 	f := newFleet(t, n, seed)
-	f.learnAll()
-	f.run(knownWithin + silentAfter)
-	f.agrees("after the start")
+	f.introduceAll()
+	f.run(convergenceTime + failureTimeout)
+	f.assertAgreement("after the start")
 	return f
 }
 
-// end ends routers, or starts them again as other runs.
-func (f *fleet) end(ended bool, list ...*router) {
+// setEnded stops routers, or restarts them as new incarnations.
+func (f *fleet) setEnded(ended bool, list ...*router) {
 	for _, r := range list {
 		r.ended = ended
 		if !ended {
@@ -255,7 +253,7 @@
 			r.sequence = 0
 			if r.node != nil {
 				f.start(r)
-				f.learnAll()
+				f.introduceAll()
 			}
 		}
 	}
@@ -263,11 +261,11 @@
 
 var sizes = []int{200, largest}
 
-// TestRouterThatEndsIsKnownToAllInTime ends a router of each kind, and all relays of a cell
-// at once, at all sizes; then they come back.
-func TestRouterThatEndsIsKnownToAllInTime(t *testing.T) {
+// TestFailedRouterIsKnownToAllInTime stops a router of each kind in fleets of all sizes and
+// restarts it: all others must know both in time.
+func TestFailedRouterIsKnownToAllInTime(t *testing.T) {
 	for _, n := range sizes {
-		f := newRunning(t, n, 1)
+		f := newConvergedFleet(t, n, 1)
 		member := f.routers[n-1]
 		assert.Assert(t, member.node == nil)
 		var leader, relay *router
@@ -285,20 +283,20 @@
 			if r == nil {
 				continue // the leaders are the only relays
 			}
-			f.end(true, r)
-			f.run(knownWithin)
-			f.agrees(fmt.Sprintf("%s of %d ended", kind, n))
-			f.end(false, r)
-			f.run(knownWithin)
-			f.agrees(fmt.Sprintf("%s of %d came back", kind, n))
+			f.setEnded(true, r)
+			f.run(convergenceTime)
+			f.assertAgreement(fmt.Sprintf("%s of %d ended", kind, n))
+			f.setEnded(false, r)
+			f.run(convergenceTime)
+			f.assertAgreement(fmt.Sprintf("%s of %d came back", kind, n))
 		}
 	}
 }
 
-// TestRelaysOfACellThatEndTogetherAreReplaced ends all relays of a cell, and all leaders of a
+// TestRelaysOfACellThatEndTogetherAreReplaced stops all relays of a cell, and then all leaders of a
 // data centre, at the same moment.
 func TestRelaysOfACellThatEndTogetherAreReplaced(t *testing.T) {
-	f := newRunning(t, largest, 2)
+	f := newConvergedFleet(t, largest, 2)
 	cell := f.cellOf(f.routers[largest*7/10], largest)
 	var relays, leaders []*router
 	for _, r := range f.routers {
@@ -313,34 +311,33 @@
 		}
 	}
 	assert.Equal(t, len(relays), feed.LeaderCount)
-	f.end(true, relays...)
-	f.run(2 * knownWithin)
-	f.agrees("relays of a cell ended")
-	f.end(true, leaders...)
-	f.run(2 * knownWithin)
-	f.agrees("leaders of a data centre ended")
+	f.setEnded(true, relays...)
+	f.run(2 * convergenceTime)
+	f.assertAgreement("relays of a cell ended")
+	f.setEnded(true, leaders...)
+	f.run(2 * convergenceTime)
+	f.assertAgreement("leaders of a data centre ended")
 }
 
-// TestLossOfManyIsKnownToAll ends half of the fleet at once, and has it come back.
+// TestLossOfManyIsKnownToAll stops half of the fleet at once and restarts it.
 func TestLossOfManyIsKnownToAll(t *testing.T) {
-	f := newRunning(t, largest, 2)
+	f := newConvergedFleet(t, largest, 2)
 	var ended []*router
 	for _, r := range f.routers {
 		if f.random.Float64() < 0.5 && f.sample[f.cellOf(r, largest)] != r {
 			ended = append(ended, r)
 		}
 	}
-	f.end(true, ended...)
-	f.run(6 * knownWithin)
-	f.agrees("half ended")
-	f.end(false, ended...)
-	f.run(2 * knownWithin)
-	f.agrees("they came back")
+	f.setEnded(true, ended...)
+	f.run(6 * convergenceTime)
+	f.assertAgreement("half ended")
+	f.setEnded(false, ended...)
+	f.run(2 * convergenceTime)
+	f.assertAgreement("they came back")
 }
 
-// cutOff returns how many times a router takes a data centre for cut off that is not, or the
-// other way round.
-func (f *fleet) cutOff() (wrong int) {
+// wrongCuts returns how many times a router wrongly considers a data centre cut off, or reachable.
+func (f *fleet) wrongCuts() (wrong int) {
 	for _, r := range f.routers {
 		if r.node == nil || r.ended {
 			continue
@@ -357,42 +354,43 @@
 	return wrong
 }
 
-// TestCutsOfDataCentresAreNoticedSoon watches who takes which data centre for cut off, for
-// half a minute without a cut, and through one.
-func TestCutsOfDataCentresAreNoticedSoon(t *testing.T) {
-	f := newRunning(t, 200, 7)
-	f.lost = 0.01
+// TestCutOffDataCentreIsDetectedSoon checks which data centres the routers consider cut off: for
+// half a minute with lost datagrams but without a cut, while one is cut off, and after its
+// recovery.
+func TestCutOffDataCentreIsDetectedSoon(t *testing.T) {
+	f := newConvergedFleet(t, 200, 7)
+	f.lossRate = 0.01
 	for range 150 {
 		f.run(2 * tick)
-		assert.Equal(t, f.cutOff(), 0)
+		assert.Equal(t, f.wrongCuts(), 0)
 	}
-	f.lost = 0
+	f.lossRate = 0
 	for _, cut := range []string{"dc-2", ""} {
 		f.cut = cut
-		f.run(DataCentreTimeout + 3*beatEvery + 2*tick)
-		assert.Equal(t, f.cutOff(), 0, "cut %q", cut)
+		f.run(DataCentreTimeout + 3*heartbeatInterval + 2*tick)
+		assert.Equal(t, f.wrongCuts(), 0, "cut %q", cut)
 	}
 }
 
-// TestDataCentreThatIsCutOffComesBack cuts a data centre off for longer than reports last.
-func TestDataCentreThatIsCutOffComesBack(t *testing.T) {
-	f := newRunning(t, 200, 4)
+// TestCutOffDataCentreRecovers cuts a data centre off for longer than the TTL of reports.
+func TestCutOffDataCentreRecovers(t *testing.T) {
+	f := newConvergedFleet(t, 200, 4)
 	f.cut = "dc-2"
-	f.run(ReportTTL + knownWithin)
-	f.agrees("cut off")
+	f.run(ReportTTL + convergenceTime)
+	f.assertAgreement("cut off")
 	f.cut = ""
-	f.run(knownWithin)
-	f.agrees("healed")
+	f.run(convergenceTime)
+	f.assertAgreement("healed")
 }
 
-// TestLostDatagramsMakeNobodyGo loses a twentieth of all datagrams for a minute.
-func TestLostDatagramsMakeNobodyGo(t *testing.T) {
-	f := newRunning(t, 200, 5)
-	f.lost = 0.05
+// TestLostDatagramsCauseNoFalseFailures loses a twentieth of all datagrams for a minute.
+func TestLostDatagramsCauseNoFalseFailures(t *testing.T) {
+	f := newConvergedFleet(t, 200, 5)
+	f.lossRate = 0.05
 	wrong := 0
 	for range 60 {
 		f.run(time.Second)
-		_, sum := f.wrong()
+		_, sum := f.wrongBeliefs()
 		wrong += sum
 	}
 	assert.Equal(t, wrong, 0)
@@ -404,7 +402,7 @@
 	members := make(map[int]int)
 	sizes := append(slices.Clone(sizes), 2*largest)
 	for _, n := range sizes {
-		f := newRunning(t, n, 1)
+		f := newConvergedFleet(t, n, 1)
 		for _, r := range f.routers {
 			r.sent, r.received = 0, 0
 		}
--- a/presence/race_test.go
+++ b/presence/race_test.go
@@ -2,6 +2,6 @@
 
 package presence
 
-// largest is the size of the largest simulated fleet that is played in full; the race detector
-// makes each of them ten times slower.
+// largest is the size of the largest simulated fleet of the tests; the race detector
+// makes each simulation ten times slower.
 const largest = 300
--- a/presence/addressees.go
+++ b/presence/recipients.go
@@ -8,7 +8,7 @@
 	"zinccove.example/zinccove/member"
 )
 
-// dataCentres returns those of all known routers.
+// dataCentres returns the data centres of all known routers.
 func (n *Node) dataCentres() []string {
 	list := []string{n.options.DataCentre}
 	for _, h := range n.options.Members.Hosts() {
@@ -19,54 +19,56 @@
 	return list
 }
 
-// hears reports whether reports on a data centre come.
-func (n *Node) hears(dataCentre string) bool {
-	return slices.ContainsFunc(n.said, func(r Report) bool { return r.Cell.DataCentre == dataCentre })
+// hasReportsOn reports whether there are reports on a data centre.
+func (n *Node) hasReportsOn(dataCentre string) bool {
+	return slices.ContainsFunc(n.applied, func(r Report) bool { return r.Cell.DataCentre == dataCentre })
 }
 
-// leaders returns the leaders of a data centre, as far as this router knows, but itself.
+// leaders returns the leaders of a data centre as far as this router knows, without itself.
 func (n *Node) leaders(dataCentre string) []*member.Host {
-	left := feed.LeaderCount
+	remaining := feed.LeaderCount
 	if dataCentre == n.options.DataCentre && n.role.Leads {
-		left--
+		remaining--
 	}
 	var list []*member.Host
 	for _, h := range n.options.Members.Hosts() {
-		if left > 0 && h.DataCentre == dataCentre && here(h) {
+		if remaining > 0 && h.DataCentre == dataCentre && presumedReachable(h) {
 			list = append(list, h)
-			left--
+			remaining--
 		}
 	}
 	return list
 }
 
-// here reports whether a router may be there: it is not known to be gone.
-func here(h *member.Host) bool { return h.Reachable || h.LastSeen.IsZero() && h.LastReport.IsZero() }
+// presumedReachable reports whether a router may be reachable: it is not known to have failed.
+func presumedReachable(h *member.Host) bool {
+	return h.Reachable || h.LastSeen.IsZero() && h.LastReport.IsZero()
+}
 
-// search returns routers of a data centre that may know who leads there.
-func (n *Node) search(dataCentre string) []*member.Host {
-	var of []*member.Host
+// candidateLeaders returns routers of a data centre that may know its leaders.
+func (n *Node) candidateLeaders(dataCentre string) []*member.Host {
+	var inDataCentre []*member.Host
 	for _, h := range n.options.Members.Hosts() {
 		if h.DataCentre == dataCentre {
-			of = append(of, h)
+			inDataCentre = append(inDataCentre, h)
 		}
 	}
-	list := slices.Clone(of[:min(feed.LeaderCount, len(of))])
-	for range min(searched, len(of)) {
-		list = append(list, of[n.options.Random.IntN(len(of))])
+	list := slices.Clone(inDataCentre[:min(feed.LeaderCount, len(inDataCentre))])
+	for range min(randomCandidates, len(inDataCentre)) {
+		list = append(list, inDataCentre[n.options.Random.IntN(len(inDataCentre))])
 	}
 	return list
 }
 
-// followers returns those to whom this router reports down: its part of the cell that it is
-// a relay of, and the relays of all cells if it leads. Leaders need no reports of others.
+// followers returns the routers to which this router sends fleet reports: its part of the cell that
+// it is a relay of, and the relays of all cells if it leads. Leaders need no reports of others.
 func (n *Node) followers() []*member.Host {
 	own := n.cell()
 	cells := make(map[int][]string)
 	names := []string{n.options.Host}
-	silent := n.board.reports[own][n.options.Host].Failed // before the others agree
+	ownFailed := n.cellReports.byCell[own][n.options.Host].Failed // not yet confirmed by the other reporters
 	for _, h := range n.options.Members.Hosts() {
-		if h.DataCentre == own.DataCentre && here(h) && !has(silent, h.Key) {
+		if h.DataCentre == own.DataCentre && presumedReachable(h) && !contains(ownFailed, h.Key) {
 			names = append(names, h.Name)
 		}
 	}
@@ -75,7 +77,7 @@
 		number := feed.CellOf(name, own.Cells)
 		cells[number] = append(cells[number], name)
 	}
-	list := n.share(cells[own.Number])
+	list := n.reportRecipients(cells[own.Number])
 	if n.role.Leads {
 		for number := range own.Cells {
 			list = append(list, relaysOf(cells[number])...)
@@ -87,10 +89,10 @@
 
 func relaysOf(cell []string) []string { return cell[:min(feed.LeaderCount, len(cell))] }
 
-// share returns the routers of a cell that this one reports to: its relays share those that
-// are none. For a while after one was lost each reports to all, until the next one knows
-// that it is a relay.
-func (n *Node) share(cell []string) []string {
+// reportRecipients returns the routers of a cell to which this router reports: the relays divide
+// the other routers among themselves. For a while after a change of relays each of them reports to
+// all, until the new relay has detected that it is one.
+func (n *Node) reportRecipients(cell []string) []string {
 	now := n.options.Clock.Now()
 	relays := relaysOf(cell)
 	if !slices.Equal(relays, n.relays) {
@@ -113,7 +115,7 @@
 	return names
 }
 
-// hosts returns the routers with some names, but this one.
+// hosts returns the known routers with the given names, without this one.
 func (n *Node) hosts(names []string) []*member.Host {
 	var list []*member.Host
 	for _, name := range names {
