--- a/member/member.go
+++ b/member/member.go
@@ -1,10 +1,9 @@
 // Package member keeps the list of routers that this router knows.
 //
-// It joins three sources: the platform's list, which lags and may be away; the
-// configuration; and the heartbeats of the routers themselves. A host is
-// leaving as soon as one of them says so. A router that was silent for the
-// failure timeout is not reachable; a pause of this process does not count as
-// silence of the others.
+// It combines three sources: the platform's list, which lags and may be unavailable; the
+// configuration; and the heartbeats of the routers themselves. A host is leaving as soon as one of
+// these sources reports it. A router without a heartbeat or report for the failure timeout is
+// unreachable; a pause of this process does not count against the others.
 //
 // The package has no I/O. The control loop owns a Table.
 //
@@ -13,13 +12,13 @@
 //	t := member.New(member.Options{Self: "entry-1", Clock: clock, Timeout: 3 * time.Second})
 //	t.Upsert(member.Address{...})               // platform, configuration, seeds
 //	host, outcome := t.RecordHeartbeat(hb)      // each heartbeat
-//	gone := t.Expire()                          // each tick
+//	failed := t.Expire()                        // each tick
 //	for _, h := range t.Hosts() { ... }
 //
 // # Limits
 //
-// The timeout trades detection against false alarms: a router that is paused
-// for longer than it is not reachable for the others until it is heard again.
+// The timeout trades detection time against false alarms: the others consider a router that is
+// paused for longer than the timeout unreachable until its next heartbeat.
 package member
 
 import (
@@ -37,38 +36,38 @@
 
 // Options configure a table.
 type Options struct {
-	// Self is the name of this host; it never becomes a member of its table.
+	// Self is the name of this host, which is never a member of its table.
 	Self  string
 	Clock clockwork.Clock
-	// Timeout is the silence after which a host is not reachable.
+	// Timeout is the time without heartbeats after which a host is unreachable.
 	Timeout time.Duration
 }
 
-// Host is what is known of another router.
+// Host is the state of another router as far as this one knows.
 type Host struct {
 	Name string
-	// Key names the host in reports of many.
+	// Key identifies the host in reports that list many hosts.
 	Key        uint64
 	DataCentre string
 	Peer       netip.AddrPort
 	Control    netip.AddrPort
-	// Incarnation is the run of the router that was heard last; 0 if none was.
+	// Incarnation is the incarnation of the last heartbeat; 0 if there was none.
 	Incarnation   uint64
 	Started       time.Time
 	Sequence      uint64
 	ConfigVersion uint64
 	Reachable     bool
 	Leaving       bool
-	// LastSeen is when the host was last known to be there, LastHeartbeat when the last heartbeat
-	// arrived here, LastReport as of when others last said whether it is there, Discovered when it
-	// became known.
+	// LastSeen is when the host was last known to be reachable, LastHeartbeat when its last
+	// heartbeat arrived here, LastReport the time of the latest report of others on whether it is
+	// reachable, and Discovered when it became known.
 	LastSeen      time.Time
 	LastHeartbeat time.Time
 	LastReport    time.Time
 	Discovered    time.Time
 }
 
-// Status is the host as operators see it.
+// Status returns the host's status for operators.
 func (h *Host) Status(now time.Time) *zinccovev1.RouterStatus {
 	s := &zinccovev1.RouterStatus{
 		Host: h.Name, DataCentre: h.DataCentre, ConfigVersion: h.ConfigVersion, Reachable: h.Reachable, Leaving: h.Leaving,
@@ -79,33 +78,33 @@
 	return s
 }
 
-// Outcome is what a heartbeat said about its sender.
+// Outcome classifies a received heartbeat.
 type Outcome int
 
-// The kinds of news.
+// The outcomes.
 const (
-	// Ignored heartbeats are duplicates, late or of an unknown or replaced run.
+	// Ignored heartbeats are duplicates, out of order, or of an unknown or replaced incarnation.
 	Ignored Outcome = iota
-	// Current heartbeats are of the run known so far.
+	// Current heartbeats are of the incarnation known so far.
 	Current
-	// Restarted heartbeats are the first of a new run.
+	// Restarted heartbeats are the first of a new incarnation.
 	Restarted
 )
 
 // Table is the list of routers. It is not safe for concurrent use.
 type Table struct {
-	options Options
-	hosts   map[string]*Host
-	runs    map[uint64]*Host
-	ticked  time.Time
-	// sorted holds hosts by name; nil after one was added or removed. The control loop asks
-	// for it many times a second.
+	options       Options
+	hosts         map[string]*Host
+	byIncarnation map[uint64]*Host
+	lastTick      time.Time
+	// sorted caches the hosts by name, as the control loop needs them many times a second; nil
+	// after a host was added or removed.
 	sorted []*Host
 }
 
 // New returns an empty table.
 func New(o Options) *Table {
-	return &Table{options: o, hosts: make(map[string]*Host), runs: make(map[uint64]*Host), ticked: o.Clock.Now()}
+	return &Table{options: o, hosts: make(map[string]*Host), byIncarnation: make(map[uint64]*Host), lastTick: o.Clock.Now()}
 }
 
 // Address is where a host can be reached, from the platform's list, the
@@ -117,8 +116,8 @@
 	Leaving    bool
 }
 
-// Upsert adds a host or updates its address. Once a host is known to be
-// leaving it stays so until a new run is heard.
+// Upsert adds a host or updates its address. A host that is known to be leaving stays so until a
+// new incarnation sends a heartbeat.
 func (t *Table) Upsert(a Address) {
 	if a.Name == t.options.Self {
 		return
@@ -133,16 +132,16 @@
 	h.Leaving = h.Leaving || a.Leaving
 }
 
-// RecordHeartbeat takes a heartbeat and returns its sender and what it says. Heartbeats
-// that do not say who the sender is are ignored until one does.
+// RecordHeartbeat records a heartbeat and returns its sender and outcome. Heartbeats of an unknown
+// incarnation are ignored until one names its host.
 func (t *Table) RecordHeartbeat(hb *zinccovev1.Heartbeat) (*Host, Outcome) {
-	h := t.runs[hb.Incarnation]
-	news := Current
+	h := t.byIncarnation[hb.Incarnation]
+	outcome := Current
 	if h == nil {
-		h = t.admit(hb)
-		news = Restarted
+		h = t.adoptIncarnation(hb)
+		outcome = Restarted
 	}
-	if h == nil || news == Current && hb.Sequence <= h.Sequence {
+	if h == nil || outcome == Current && hb.Sequence <= h.Sequence {
 		return nil, Ignored
 	}
 	t.identify(h, hb.Host)
@@ -152,31 +151,31 @@
 	h.LastSeen = t.options.Clock.Now()
 	h.LastHeartbeat = h.LastSeen
 	h.Reachable = true
-	return h, news
+	return h, outcome
 }
 
-// RecordReport notes whether a host is there and leaving as others said at a time, and reports
-// whether that is news. What is older than what is known counts nothing.
-func (t *Table) RecordReport(h *Host, there, leaving bool, at time.Time) (news bool) {
-	if !h.LastReport.Before(at) || !there && h.LastHeartbeat.After(at) {
+// RecordReport records whether a host was reachable and leaving according to others at a time, and
+// returns whether that changed the host. It ignores reports that are older than what is known.
+func (t *Table) RecordReport(h *Host, reachable, leaving bool, at time.Time) (changed bool) {
+	if !h.LastReport.Before(at) || !reachable && h.LastHeartbeat.After(at) {
 		return false
 	}
 	h.LastReport = at
-	if there && h.LastSeen.Before(at) {
+	if reachable && h.LastSeen.Before(at) {
 		h.LastSeen = at
 	}
 	if h.LastHeartbeat.Before(at) {
-		news = h.Leaving != leaving
+		changed = h.Leaving != leaving
 		h.Leaving = leaving
 	}
-	news = news || h.Reachable != there
-	h.Reachable = there
-	return news
+	changed = changed || h.Reachable != reachable
+	h.Reachable = reachable
+	return changed
 }
 
-// admit makes an unknown run the current one of its host, unless the host has
-// a later run that is still heard.
-func (t *Table) admit(hb *zinccovev1.Heartbeat) *Host {
+// adoptIncarnation makes an unknown incarnation the current one of its host, unless the host has a
+// later incarnation that is still reachable.
+func (t *Table) adoptIncarnation(hb *zinccovev1.Heartbeat) *Host {
 	if hb.Host == nil || hb.Host.Name == "" || hb.Host.Name == t.options.Self {
 		return nil
 	}
@@ -188,14 +187,14 @@
 	if h.Incarnation != 0 && h.Reachable && started.Before(h.Started) {
 		return nil
 	}
-	delete(t.runs, h.Incarnation)
-	t.runs[hb.Incarnation] = h
+	delete(t.byIncarnation, h.Incarnation)
+	t.byIncarnation[hb.Incarnation] = h
 	h.Incarnation, h.Started = hb.Incarnation, started
 	h.Sequence, h.ConfigVersion, h.Leaving = 0, 0, false
 	return h
 }
 
-// identify takes the addresses from a heartbeat that carries them.
+// identify updates the addresses from a heartbeat that carries them.
 func (t *Table) identify(h *Host, info *zinccovev1.HostInfo) {
 	if info == nil {
 		return
@@ -209,31 +208,31 @@
 	}
 }
 
-// Expire marks the hosts that were silent for too long and returns those it
-// marked. Call it on every tick: the time since the last call beyond half the
-// timeout was a pause of this process and is not held against the others.
+// Expire marks the hosts as unreachable whose timeout has elapsed and returns them. Call it on
+// every tick: if the time since the last call exceeds half the timeout or longPause, this process
+// was paused, and the pause is not counted against the others.
 func (t *Table) Expire() []*Host {
 	now := t.options.Clock.Now()
-	pause := now.Sub(t.ticked)
-	t.ticked = now
+	pause := now.Sub(t.lastTick)
+	t.lastTick = now
 	if pause > min(t.options.Timeout/2, longPause) {
-		t.excuse(pause)
+		t.creditPause(pause)
 		return nil
 	}
-	var gone []*Host
+	var failed []*Host
 	for _, h := range t.hosts {
 		if h.Reachable && now.Sub(h.LastSeen) > t.options.Timeout {
 			h.Reachable = false
-			gone = append(gone, h)
+			failed = append(failed, h)
 		}
 	}
-	return gone
+	return failed
 }
 
-// longPause is a pause of this process in which many heartbeats waited unread.
+// longPause is a pause of this process during which many heartbeats were queued unread.
 const longPause = time.Second
 
-func (t *Table) excuse(pause time.Duration) {
+func (t *Table) creditPause(pause time.Duration) {
 	for _, h := range t.hosts {
 		if h.Reachable {
 			h.LastSeen = h.LastSeen.Add(pause)
@@ -242,38 +241,38 @@
 	}
 }
 
-// Forget removes unreachable hosts that were last heard before the given time
-// and returns them, so that a fleet whose hosts are replaced daily does not
-// grow the table for ever. Hosts that are learned again come back.
+// Forget removes unreachable hosts that were last seen before the given time and returns them.
+// Otherwise the table of a fleet whose hosts are replaced daily would grow without bound. Upsert
+// adds removed hosts again.
 func (t *Table) Forget(before time.Time) []*Host {
-	var gone []*Host
+	var removed []*Host
 	for name, h := range t.hosts {
 		if !h.Reachable && !h.LastSeen.IsZero() && h.LastSeen.Before(before) {
 			delete(t.hosts, name)
-			delete(t.runs, h.Incarnation)
+			delete(t.byIncarnation, h.Incarnation)
 			t.sorted = nil
-			gone = append(gone, h)
+			removed = append(removed, h)
 		}
 	}
-	return gone
+	return removed
 }
 
-// Remove removes a host that is not there, as its entry went.
+// Remove removes an unreachable host whose entry was removed from the store.
 func (t *Table) Remove(name string) {
 	h := t.hosts[name]
 	if h == nil || h.Reachable {
 		return
 	}
 	delete(t.hosts, name)
-	delete(t.runs, h.Incarnation)
+	delete(t.byIncarnation, h.Incarnation)
 	t.sorted = nil
 }
 
-// SetTimeout changes the silence after which a host is not reachable. Heartbeats
-// come less often in large fleets.
+// SetTimeout changes the time without heartbeats after which a host is unreachable. The interval
+// between heartbeats is longer in large fleets.
 func (t *Table) SetTimeout(d time.Duration) { t.options.Timeout = d }
 
-// add makes h a member.
+// add adds h to the table.
 func (t *Table) add(h *Host) *Host {
 	h.Key, h.Discovered = xxhash.Sum64String(h.Name), t.options.Clock.Now()
 	t.hosts[h.Name] = h
@@ -287,8 +286,7 @@
 	return h, ok
 }
 
-// Hosts returns all known hosts by name. The list and its entries stay owned by the
-// table.
+// Hosts returns all known hosts by name. The list and its entries remain owned by the table.
 func (t *Table) Hosts() []*Host {
 	if t.sorted == nil {
 		t.sorted = slices.SortedFunc(maps.Values(t.hosts), func(a, b *Host) int { return strings.Compare(a.Name, b.Name) })
