--- a/contact/contact.go
+++ b/contact/contact.go
@@ -1,9 +1,10 @@
-// Package contact is what every router does to stay in touch with the others, wherever its
-// routes come from: it names itself in heartbeats, sends and takes datagrams, knows who is
-// heard, tells of requests that end their targets, and publishes what operators see.
+// Package contact is what every router does to stay in contact with the others, wherever its routes
+// come from: it identifies itself in heartbeats, sends and receives datagrams, tracks which routers
+// are reachable, notifies others of requests under which targets ended, and publishes the status
+// that operators see.
 //
-// What heartbeats carry beside that, when they are sent and to whom is for the control loop
-// that owns a Contact.
+// The control loop that owns a Contact decides what else heartbeats carry, when they are sent and
+// to whom.
 //
 // # Usage
 //
@@ -13,7 +14,7 @@
 //	case r := <-c.Heartbeats():
 //		host, outcome := c.HandleHeartbeat(r)
 //	case <-tick:
-//		gone, forgotten := c.Expire(time.Minute)
+//		failed, forgotten := c.Expire(time.Minute)
 //		hb := c.NewHeartbeat(version, stopping)
 //		hb.Host = c.Identity()
 //		c.Send(hb, addresses...)
@@ -38,66 +39,66 @@
 
 // Options configure a Contact. All are required.
 type Options struct {
-	// Host and DataCentre are this router's.
+	// Host and DataCentre are those of this router.
 	Host       string
 	DataCentre string
 	Clock      clockwork.Clock
 	Log        zerolog.Logger
 	Metrics    *metric.Metrics
 	Quarantine *quarantine.List
-	// FailureTimeout is the time after which a router that is not heard is not reachable.
+	// FailureTimeout is the time without heartbeats after which a router is unreachable.
 	FailureTimeout time.Duration
-	// Send sends a datagram to addresses. It returns its size on the wire and to how many
-	// it left; see peer.Transport.
+	// Send sends a datagram to addresses. It returns the datagram's size on the wire and the number
+	// of addresses that it was sent to; see peer.Transport.
 	Send func(hb *zinccovev1.Heartbeat, to ...netip.AddrPort) (size, sent int, err error)
-	// Control and Peer are the addresses by which others reach this router. They are asked
-	// once it listens.
+	// Control and Peer return the addresses by which others reach this router. They are called once
+	// it listens.
 	Control func() netip.AddrPort
 	Peer    func() netip.AddrPort
 }
 
-// inbox holds the heartbeats that wait for the control loop.
-const inbox = 1024
+// inboxSize is the number of heartbeats that may wait for the control loop.
+const inboxSize = 1024
 
-// Received is a heartbeat and its size in bytes.
+// Received is a received heartbeat and its size in bytes.
 type Received struct {
 	Heartbeat *zinccovev1.Heartbeat
 	Size      int
 }
 
-// Contact is this router's part in the exchange of all routers. Receive, Send, SendSuspects
+// Contact is this router's part in the communication of all routers. Receive, Send, SendSuspects
 // and Statuses are safe for concurrent use, the rest belongs to the control loop.
 type Contact struct {
 	options Options
 	// Members are the other routers.
 	Members *member.Table
-	// Started is when this run began, Incarnation names it.
+	// Started is when this process started, Incarnation identifies it.
 	Started     time.Time
 	Incarnation uint64
 
-	heartbeats chan Received
-	sequence   uint64
-	awake      bootclock.Watch
-	published  atomic.Pointer[[]*zinccovev1.RouterStatus]
+	heartbeats   chan Received
+	sequence     uint64
+	suspendWatch bootclock.Watch
+	published    atomic.Pointer[[]*zinccovev1.RouterStatus]
 }
 
 // New returns a Contact that knows no other router.
 func New(o Options) *Contact {
 	return &Contact{
-		options:     o,
-		Members:     member.New(member.Options{Self: o.Host, Clock: o.Clock, Timeout: o.FailureTimeout}),
-		Started:     o.Clock.Now(),
-		heartbeats:  make(chan Received, inbox),
-		Incarnation: rand.Uint64(),
-		awake:       bootclock.Watch{Clock: o.Clock},
+		options:      o,
+		Members:      member.New(member.Options{Self: o.Host, Clock: o.Clock, Timeout: o.FailureTimeout}),
+		Started:      o.Clock.Now(),
+		heartbeats:   make(chan Received, inboxSize),
+		Incarnation:  rand.Uint64(),
+		suspendWatch: bootclock.Watch{Clock: o.Clock},
 	}
 }
 
-// Receive takes the word of another router on suspects, and hands heartbeats to the control
-// loop. One that finds the inbox full is dropped like a lost one.
+// Receive handles another router's notice of suspects, and queues heartbeats for the control loop.
+// A heartbeat that finds the queue full is dropped as if it were lost.
 func (c *Contact) Receive(hb *zinccovev1.Heartbeat, from netip.AddrPort, size int) {
 	if len(hb.Suspects) > 0 {
-		c.hearSuspects(hb.Suspects, from)
+		c.handleSuspects(hb.Suspects, from)
 		return
 	}
 	select {
@@ -106,59 +107,59 @@
 	}
 }
 
-// hearSuspects takes another router's word on requests under which targets ended.
-func (c *Contact) hearSuspects(told []*zinccovev1.Suspect, from netip.AddrPort) {
+// handleSuspects records the requests under which targets ended according to another router.
+func (c *Contact) handleSuspects(told []*zinccovev1.Suspect, from netip.AddrPort) {
 	for _, f := range c.options.Quarantine.Learn(told) {
 		c.options.Log.Warn().Stringer("fingerprint", f).Stringer("peer", from).Msg("request barred, as another router says")
 	}
 }
 
-// Heartbeats delivers what Receive took.
+// Heartbeats delivers the heartbeats that Receive queued.
 func (c *Contact) Heartbeats() <-chan Received { return c.heartbeats }
 
-// HandleHeartbeat takes a heartbeat of another router; see member.Table.
+// HandleHeartbeat records a heartbeat from another router; see member.Table.RecordHeartbeat.
 func (c *Contact) HandleHeartbeat(r Received) (*member.Host, member.Outcome) {
 	m := c.options.Metrics
 	m.Inc(metric.HeartbeatsReceived)
 	m.Add(metric.ControlBytesReceived, r.Size)
-	host, news := c.Members.RecordHeartbeat(r.Heartbeat)
-	switch news {
+	host, outcome := c.Members.RecordHeartbeat(r.Heartbeat)
+	switch outcome {
 	case member.Ignored:
 		m.Inc(metric.HeartbeatsIgnored)
 	case member.Restarted:
 		c.options.Log.Info().Str("peer", host.Name).Stringer("address", host.Peer).Msg("router heard")
 	}
-	return host, news
+	return host, outcome
 }
 
-// Expire returns the routers that are not reachable any more, and those that are forgotten as
-// they were silent for a time.
-func (c *Contact) Expire(forgetAfter time.Duration) (gone, forgotten []*member.Host) {
+// Expire returns the routers that became unreachable, and those that it removed because they were
+// last seen more than forgetAfter ago.
+func (c *Contact) Expire(forgetAfter time.Duration) (failed, forgotten []*member.Host) {
 	now := c.options.Clock.Now()
-	gone = c.Members.Expire()
-	for _, h := range gone {
+	failed = c.Members.Expire()
+	for _, h := range failed {
 		c.options.Metrics.Inc(metric.HostsLost)
 		c.options.Log.Warn().Str("peer", h.Name).Dur("silent_ms", now.Sub(h.LastSeen)).Msg("router not reachable")
 	}
-	return gone, c.Members.Forget(now.Add(-forgetAfter))
+	return failed, c.Members.Forget(now.Add(-forgetAfter))
 }
 
 // Suspended returns for how long the host was suspended since the last call, 0 if it was not.
 func (c *Contact) Suspended() time.Duration {
-	d := c.awake.Suspended()
+	d := c.suspendWatch.Suspended()
 	if d > 0 {
 		c.options.Metrics.Inc(metric.Suspensions)
 	}
 	return d
 }
 
-// NewHeartbeat begins the next heartbeat.
+// NewHeartbeat returns the next heartbeat with its header only.
 func (c *Contact) NewHeartbeat(version uint64, leaving bool) *zinccovev1.Heartbeat {
 	c.sequence++
 	return &zinccovev1.Heartbeat{Incarnation: c.Incarnation, Sequence: c.sequence, ConfigVersion: version, Leaving: leaving}
 }
 
-// Identity says who this router is.
+// Identity returns the information that identifies this router in heartbeats.
 func (c *Contact) Identity() *zinccovev1.HostInfo {
 	return &zinccovev1.HostInfo{
 		Name: c.options.Host, DataCentre: c.options.DataCentre,
@@ -167,8 +168,8 @@
 	}
 }
 
-// Send sends a datagram to some routers. It returns for how many it left, and its cost in
-// bytes.
+// Send sends a datagram to some routers. It returns the number of routers that it was sent to, and
+// its cost in bytes.
 func (c *Contact) Send(hb *zinccovev1.Heartbeat, to ...netip.AddrPort) (sent, cost int) {
 	size, sent, err := c.options.Send(hb, to...)
 	if err != nil {
@@ -178,8 +179,8 @@
 	return sent, size * sent
 }
 
-// SendSuspects tells other routers of requests under which targets ended, if there is
-// anything to tell, and returns its cost in bytes.
+// SendSuspects notifies other routers of requests under which targets ended, if there are any to
+// report, and returns the cost in bytes.
 func (c *Contact) SendSuspects(to ...netip.AddrPort) (cost int) {
 	if hb := c.options.Quarantine.Tell(); hb != nil {
 		_, cost = c.Send(hb, to...)
@@ -187,8 +188,8 @@
 	return cost
 }
 
-// Publish makes the status that operators read, with this router's own first, and the gauges
-// on other routers and suspects. It returns the number of routers that are reachable.
+// Publish updates the status that operators read, with this router's own first, and the gauges on
+// other routers and suspects. It returns the number of reachable routers.
 func (c *Contact) Publish(own *zinccovev1.RouterStatus) (reachable int) {
 	now := c.options.Clock.Now()
 	own.Host, own.DataCentre, own.Reachable = c.options.Host, c.options.DataCentre, true
@@ -208,7 +209,7 @@
 	return reachable
 }
 
-// Statuses returns what was published last.
+// Statuses returns the statuses that were published last.
 func (c *Contact) Statuses() []*zinccovev1.RouterStatus {
 	if p := c.published.Load(); p != nil {
 		return *p
@@ -216,7 +217,7 @@
 	return nil
 }
 
-// Isolated reports whether no other router is reachable, as of the last status.
+// Isolated reports whether no other router was reachable when the statuses were last published.
 func (c *Contact) Isolated() bool {
 	for _, r := range c.Statuses() {
 		if r.Reachable && r.Host != c.options.Host {
--- a/contact/contact_test.go
+++ b/contact/contact_test.go
@@ -16,9 +16,9 @@
 	"zinccove.example/zinccove/quarantine"
 )
 
-const silence = 2 * time.Second
+const failureTimeout = 2 * time.Second
 
-// network delivers datagrams between Contacts at once, unless it is cut.
+// network delivers datagrams between Contacts immediately, unless it is cut.
 type network struct {
 	clock   *clockwork.FakeClock
 	members map[netip.AddrPort]*Contact
@@ -36,7 +36,7 @@
 	addr := addressOf(i)
 	c := New(Options{
 		Host: string(rune('a' + i)), DataCentre: "dc", Clock: n.clock, Log: zerolog.Nop(), Metrics: m,
-		Quarantine: quarantine.New(n.clock), FailureTimeout: silence,
+		Quarantine: quarantine.New(n.clock), FailureTimeout: failureTimeout,
 		Send: func(hb *zinccovev1.Heartbeat, to ...netip.AddrPort) (size, sent int, err error) {
 			for _, a := range to {
 				if n.cut || n.members[a] == nil {
@@ -64,7 +64,7 @@
 	return c.Send(hb, to)
 }
 
-func TestRoutersKnowWhoIsHeard(t *testing.T) {
+func TestRoutersTrackReachablePeers(t *testing.T) {
 	n := newNetwork()
 	a, b := n.add(t, 0), n.add(t, 1)
 	assert.Equal(t, a.Publish(new(zinccovev1.RouterStatus)), 0)
@@ -87,7 +87,7 @@
 	assert.Equal(t, sent, 0)
 	assert.Equal(t, cost, 0)
 	for range 5 {
-		n.clock.Advance(silence / 4)
+		n.clock.Advance(failureTimeout / 4)
 		gone, _ := a.Expire(time.Minute)
 		if len(gone) > 0 {
 			assert.Equal(t, gone[0].Name, "b")
@@ -108,7 +108,7 @@
 	a.HandleHeartbeat(<-a.Heartbeats())
 	var forgotten []*member.Host
 	for range 130 {
-		n.clock.Advance(silence / 4)
+		n.clock.Advance(failureTimeout / 4)
 		_, list := a.Expire(time.Minute)
 		forgotten = append(forgotten, list...)
 	}
@@ -116,11 +116,12 @@
 	assert.Equal(t, len(a.Members.Hosts()), 0)
 }
 
-// TestSuspectsAreToldBesideHeartbeats has two targets end under a request at one router.
-func TestSuspectsAreToldBesideHeartbeats(t *testing.T) {
+// TestSuspectsAreSentBesideHeartbeats ends two targets under the same request at one router: the
+// other must bar the request without a heartbeat.
+func TestSuspectsAreSentBesideHeartbeats(t *testing.T) {
 	n := newNetwork()
 	a, b := n.add(t, 0), n.add(t, 1)
-	assert.Equal(t, b.SendSuspects(addressOf(0)), 0, "nothing to tell")
+	assert.Equal(t, b.SendSuspects(addressOf(0)), 0, "no suspects to send")
 	content := &quarantine.Content{Customer: "c", Body: []byte("x")}
 	for i := range 2 {
 		b.options.Quarantine.Lost(content, quarantine.Loss{Target: quarantine.Target(i + 1)})
@@ -133,8 +134,8 @@
 func TestFullInboxDropsHeartbeats(t *testing.T) {
 	n := newNetwork()
 	a, b := n.add(t, 0), n.add(t, 1)
-	for range inbox + 10 {
+	for range inboxSize + 10 {
 		b.beat(addressOf(0))
 	}
-	assert.Equal(t, len(a.Heartbeats()), inbox)
+	assert.Equal(t, len(a.Heartbeats()), inboxSize)
 }
