--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,23 +1,24 @@
-// Package owner says which router answers for each target.
+// Package owner determines which router is the owner of each target: the one that is authoritative
+// for its load.
 //
-// In a fleet of hundreds of routers each sees one in some hundred requests of a target,
-// and telling all others of each request costs more than the request. So one router of
-// the target's data centre hears of everything that is placed there and answers whoever
-// is about to place something. It follows from the names of the routers that are there,
-// by rendezvous hashing: nobody is elected, and a router that comes or goes moves only
-// the targets that are its own. Routers that see others differently for a while ask
-// different ones, which costs accuracy: an answer is a hint, and a router that gets none
-// in time goes by what it knows itself.
+// In a fleet of hundreds of routers each sees about one in some hundred requests to a target, and
+// notifying all others of each request costs more than the request. So one router of the target's
+// data centre, the owner, receives updates on all requests placed there and replies to the queries
+// of routers that are about to place one. The owner is derived from the names of the reachable
+// routers by rendezvous hashing, without an election; a router that joins or leaves moves only its
+// own targets. Routers that temporarily disagree on which routers are reachable query different
+// owners, which costs accuracy only: a reply is a hint, and a router that receives none in time
+// uses its own knowledge.
 //
-// A Table knows only routers, so that a target that comes or goes changes nothing, and a
-// router that comes or goes concerns the targets of its own data centre.
+// A Table knows only routers. A target that is added or removed does not change it, and a router
+// that joins or leaves affects only the targets of its own data centre.
 //
 // The package has no I/O. A Table is immutable.
 //
 // # Usage
 //
 //	t := owner.New(routers)
-//	first, second := t.Of(target)
+//	first, second := t.Owners(target)
 package owner
 
 import (
@@ -29,20 +30,20 @@
 	"zinccove.example/zinccove/place"
 )
 
-// Router is a router that may answer for targets.
+// Router is a router that may own targets.
 type Router struct {
 	Name       string
 	DataCentre string
 	Peer       netip.AddrPort
 }
 
-// Target is a target that somebody is to answer for.
+// Target is a target to find the owner of.
 type Target struct {
 	Hash       place.Hash
 	DataCentre string
 }
 
-// Table holds the routers that answer for targets.
+// Table holds the routers that may own targets.
 type Table struct {
 	byDataCentre map[string][]candidate
 	all          []candidate
@@ -53,7 +54,7 @@
 	seed   uint64
 }
 
-// New returns the table of the routers that are there.
+// New returns the table of the reachable routers.
 func New(routers []Router) *Table {
 	t := &Table{byDataCentre: make(map[string][]candidate)}
 	for i := range routers {
@@ -65,12 +66,12 @@
 	return t
 }
 
-// HasRouter reports whether a data centre has a router. Targets of one that has none are
-// answered for by any router.
+// HasRouter reports whether a data centre has a router. The targets of a data centre without one
+// are owned by routers of any data centre.
 func (t *Table) HasRouter(dataCentre string) bool { return len(t.byDataCentre[dataCentre]) > 0 }
 
-// SameOwners reports whether the targets of a data centre have the same routers in another table,
-// and whether the same data centres have none.
+// SameOwners reports whether a data centre has the same routers, at least one, in both tables, and
+// both cover the same number of data centres.
 func (t *Table) SameOwners(o *Table, dataCentre string) bool {
 	if len(t.byDataCentre) != len(o.byDataCentre) || len(t.byDataCentre[dataCentre]) == 0 {
 		return false
@@ -78,19 +79,19 @@
 	return slices.EqualFunc(t.byDataCentre[dataCentre], o.byDataCentre[dataCentre], func(a, b candidate) bool { return a.seed == b.seed })
 }
 
-// Owners returns the router that answers for a target and the one that does if the first
-// is silent; nil if there is none.
+// Owners returns the owner of a target and the router that takes over if the owner fails; nil if
+// there is none.
 func (t *Table) Owners(target Target) (first, second *Router) {
 	among := t.byDataCentre[target.DataCentre]
 	if len(among) == 0 {
 		among = t.all
 	}
-	var most, next uint64
+	var highest, next uint64
 	for _, c := range among {
 		switch w := place.Mix(c.seed ^ uint64(target.Hash)); {
-		case first == nil || w > most:
-			second, next = first, most
-			first, most = c.router, w
+		case first == nil || w > highest:
+			second, next = first, highest
+			first, highest = c.router, w
 		case second == nil || w > next:
 			second, next = c.router, w
 		}
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -9,7 +9,7 @@
 	"zinccove.example/zinccove/place"
 )
 
-// fleet returns 5 data centres with so many routers each, and 320 targets.
+// fleet returns 5 data centres with the given number of routers each, and 320 targets.
 func fleet(routers int) ([]Target, []Router) {
 	var rs []Router
 	var ts []Target
@@ -35,7 +35,7 @@
 		owned[first.Name]++
 		most = max(most, owned[first.Name])
 	}
-	assert.Assert(t, most <= 6, "one router answers for %d of 320 targets", most)
+	assert.Assert(t, most <= 6, "one router owns %d of 320 targets", most)
 	for _, x := range targets {
 		first, second := table.Owners(x)
 		assert.Equal(t, first.DataCentre, x.DataCentre)
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestLostRouterMovesOnlyItsTargets also holds that the next router of a target is the
-// one that answers once the first is known to be lost.
+// TestLostRouterMovesOnlyItsTargets also checks that the second owner of a target becomes its owner
+// once the first is known to have failed.
 func TestLostRouterMovesOnlyItsTargets(t *testing.T) {
 	targets, routers := fleet(59)
 	before := New(routers)
@@ -71,7 +71,7 @@
 	assert.Assert(t, first == nil && second == nil)
 }
 
-// BenchmarkOf finds out who answers for a target among the routers of a data centre.
+// BenchmarkOf finds the owner of a target among the routers of a data centre.
 func BenchmarkOf(b *testing.B) {
 	for _, n := range []int{20, 59, 197, 400} {
 		targets, routers := fleet(n)
