--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -1,10 +1,9 @@
-// Package exchange keeps the counters that routers tell each other: service
-// delivered and requests queued and running, by pool and customer.
+// Package exchange holds the counters that routers report to each other: service delivered and
+// requests queued and running, by pool and customer.
 //
-// Each router reports its own counters as totals since it started, so a lost,
-// late or repeated report does no harm: the next one carries the same total or
-// a later one. A report holds the counters that changed lately and, in turn, a
-// few of the others.
+// Each router reports its own counters as totals since it started, so a lost, delayed or repeated
+// report does no harm: the next one carries the same total or a later one. A report holds the
+// counters that changed recently and a few of the others in rotation.
 //
 // The package has no I/O and no clock. The control loop owns a Table.
 //
@@ -17,9 +16,9 @@
 //
 // # Limits
 //
-// Of a router that is first heard long after it started, only what it serves
-// from then on is observed: its earlier service is already in the levels that
-// a starting router fetches from its peers.
+// If the first heartbeat of a router arrives long after the router started, only what it serves
+// from then on is observed: its earlier service is already in the levels that a starting router
+// fetches from its peers.
 package exchange
 
 import (
@@ -30,7 +29,7 @@
 	zinccovev1 "zinccove.example/zinccove/gen/zinccove/v1"
 )
 
-// Key names the counters of one customer in one pool.
+// Key identifies the counters of one customer in one pool.
 type Key struct {
 	Pool     uint32
 	Customer fair.Customer
@@ -52,7 +51,7 @@
 	Cost uint64
 }
 
-// Demand is what one router wants of a pool for one customer.
+// Demand is one router's demand for a pool on behalf of one customer.
 type Demand struct {
 	Host     string
 	Customer fair.Customer
@@ -60,7 +59,7 @@
 	Running  uint32
 }
 
-// Options configure a book. All must be at least 1.
+// Options configure a Table. All must be at least 1.
 type Options struct {
 	// Repeats is the number of reports that carry a changed counter.
 	Repeats int
@@ -70,8 +69,7 @@
 	MaxEntries int
 }
 
-// Table holds the counters of this router and of all others. It is not safe
-// for concurrent use.
+// Table holds the counters of this router and of all others. It is not safe for concurrent use.
 type Table struct {
 	options Options
 	local   map[Key]*localEntry
@@ -83,68 +81,68 @@
 type localEntry struct {
 	key      Key
 	counters Counters
-	// fresh is the number of reports that still have to carry the entry.
-	fresh int
+	// sendsLeft is the number of reports that still have to carry the entry.
+	sendsLeft int
 }
 
-// remote is what another router reported.
+// remote holds the counters that another router reported.
 type remote struct {
 	late    bool
 	entries map[Key]Counters
 }
 
-// New returns an empty book.
+// New returns an empty table.
 func New(o Options) *Table {
 	return &Table{options: o, local: make(map[Key]*localEntry), remotes: make(map[string]*remote)}
 }
 
 // SetLocal sets the counters of this router for a key.
-func (b *Table) SetLocal(k Key, c Counters) {
-	e := b.local[k]
+func (t *Table) SetLocal(k Key, c Counters) {
+	e := t.local[k]
 	if e == nil {
 		e = &localEntry{key: k}
-		b.local[k] = e
-		b.order = append(b.order, e)
+		t.local[k] = e
+		t.order = append(t.order, e)
 	}
 	if e.counters != c {
 		e.counters = c
-		e.fresh = b.options.Repeats
+		e.sendsLeft = t.options.Repeats
 	}
 }
 
-// Report returns the counters for the next heartbeat: those that changed
-// first, then some others in turn.
-func (b *Table) Report() []*zinccovev1.PoolReport {
-	chosen := b.changed()
-	chosen = b.rotate(chosen)
+// Report returns the counters for the next heartbeat: first those that changed, then some of the
+// others in rotation.
+func (t *Table) Report() []*zinccovev1.PoolReport {
+	chosen := t.changed()
+	chosen = t.rotate(chosen)
 	slices.SortFunc(chosen, func(x, y *localEntry) int {
 		return cmp.Or(cmp.Compare(x.key.Pool, y.key.Pool), cmp.Compare(x.key.Customer, y.key.Customer))
 	})
 	return encode(chosen)
 }
 
-func (b *Table) changed() []*localEntry {
+func (t *Table) changed() []*localEntry {
 	var chosen []*localEntry
-	n := len(b.order)
+	n := len(t.order)
 	for i := range n {
-		e := b.order[(b.cursor+i)%n]
-		if e.fresh == 0 {
+		e := t.order[(t.cursor+i)%n]
+		if e.sendsLeft == 0 {
 			continue
 		}
-		if len(chosen) == b.options.MaxEntries {
+		if len(chosen) == t.options.MaxEntries {
 			break
 		}
-		e.fresh--
+		e.sendsLeft--
 		chosen = append(chosen, e)
 	}
 	return chosen
 }
 
-func (b *Table) rotate(chosen []*localEntry) []*localEntry {
-	room := min(b.options.Rotate, b.options.MaxEntries-len(chosen), len(b.order))
+func (t *Table) rotate(chosen []*localEntry) []*localEntry {
+	room := min(t.options.Rotate, t.options.MaxEntries-len(chosen), len(t.order))
 	for range room {
-		e := b.order[b.cursor%len(b.order)]
-		b.cursor = (b.cursor + 1) % len(b.order)
+		e := t.order[t.cursor%len(t.order)]
+		t.cursor = (t.cursor + 1) % len(t.order)
 		if !slices.Contains(chosen, e) {
 			chosen = append(chosen, e)
 		}
@@ -167,17 +165,17 @@
 	return reports
 }
 
-// ResetHost forgets the counters of a host whose run changed. Late tells that
-// the run had been going on for long when it was first heard.
-func (b *Table) ResetHost(host string, late bool) {
-	b.remotes[host] = &remote{late: late, entries: make(map[Key]Counters)}
+// ResetHost removes the counters of a host whose incarnation changed. Late means that the
+// incarnation had been running for long before its first heartbeat arrived.
+func (t *Table) ResetHost(host string, late bool) {
+	t.remotes[host] = &remote{late: late, entries: make(map[Key]Counters)}
 }
 
-// ApplyReports takes the report of a host, which ResetHost must have named, and
-// returns the service in it that was not known yet. Reports must come in the
-// order of their heartbeats; malformed ones are ignored.
-func (b *Table) ApplyReports(host string, reports []*zinccovev1.PoolReport) []Observation {
-	r := b.remotes[host]
+// ApplyReports records the reports of a host and returns the service in them that was not known
+// yet. ResetHost must have been called for the host. Reports must be applied in the order of their
+// heartbeats; malformed ones are ignored.
+func (t *Table) ApplyReports(host string, reports []*zinccovev1.PoolReport) []Observation {
+	r := t.remotes[host]
 	if r == nil {
 		return nil
 	}
@@ -190,7 +188,7 @@
 		for i, c := range report.Customers {
 			k := Key{Pool: report.Pool, Customer: fair.Customer(c)}
 			next := Counters{Served: report.Served[i], Queued: report.Queued[i], Running: report.Running[i]}
-			if cost := r.absorb(k, next); cost > 0 {
+			if cost := r.update(k, next); cost > 0 {
 				observed = append(observed, Observation{Key: k, Cost: cost})
 			}
 		}
@@ -198,7 +196,7 @@
 	return observed
 }
 
-func (r *remote) absorb(k Key, next Counters) uint64 {
+func (r *remote) update(k Key, next Counters) uint64 {
 	last, known := r.entries[k]
 	next.Served = max(next.Served, last.Served)
 	r.entries[k] = next
@@ -208,10 +206,10 @@
 	return next.Served - last.Served
 }
 
-// ClearDemand drops the demand of a host that is not reachable. Its service stays
-// known, so that nothing is observed twice when it is heard again.
-func (b *Table) ClearDemand(host string) {
-	r := b.remotes[host]
+// ClearDemand removes the demand of an unreachable host. Its service stays recorded, so that none
+// is observed twice when its reports arrive again.
+func (t *Table) ClearDemand(host string) {
+	r := t.remotes[host]
 	if r == nil {
 		return
 	}
@@ -220,25 +218,25 @@
 	}
 }
 
-// Forget removes all that is known of a host.
-func (b *Table) Forget(host string) { delete(b.remotes, host) }
+// Forget removes all counters of a host.
+func (t *Table) Forget(host string) { delete(t.remotes, host) }
 
-// Demands returns what the routers announced that they want of each pool, this
-// one under the name self, ordered by host and customer so that every router
-// computes alike.
-func (b *Table) Demands(self string) map[uint32][]Demand {
+// Demands returns the demands that the routers announced, by pool. Those of this router are listed
+// under the name self. They are ordered by host and customer so that all routers compute the same
+// result.
+func (t *Table) Demands(self string) map[uint32][]Demand {
 	demands := make(map[uint32][]Demand)
 	add := func(host string, k Key, c Counters) {
 		if c.Queued > 0 || c.Running > 0 {
 			demands[k.Pool] = append(demands[k.Pool], Demand{Host: host, Customer: k.Customer, Queued: c.Queued, Running: c.Running})
 		}
 	}
-	for host, r := range b.remotes {
+	for host, r := range t.remotes {
 		for k, c := range r.entries {
 			add(host, k, c)
 		}
 	}
-	for k, e := range b.local {
+	for k, e := range t.local {
 		add(self, k, e.counters)
 	}
 	for _, ds := range demands {
--- a/exchange/exchange_test.go
+++ b/exchange/exchange_test.go
@@ -22,7 +22,7 @@
 	return sum
 }
 
-func TestAbsorbObservesEachServiceOnce(t *testing.T) {
+func TestApplyReportsObservesEachServiceOnce(t *testing.T) {
 	a, b := New(testOptions), New(testOptions)
 	b.ResetHost("a", false)
 	k := Key{Pool: 1, Customer: 2}
@@ -45,7 +45,7 @@
 	assert.Equal(t, total(b.ApplyReports("a", a.Report())), uint64(7))
 }
 
-func TestSilenceDropsDemandAndKeepsService(t *testing.T) {
+func TestClearDemandKeepsService(t *testing.T) {
 	a, b := New(testOptions), New(testOptions)
 	b.ResetHost("a", false)
 	a.SetLocal(Key{Pool: 1, Customer: 2}, Counters{Served: 10, Queued: 5})
