--- a/contact/contact.go
+++ b/contact/contact.go
@@ -108,8 +108,8 @@
 }
 
 // handleSuspects records the requests under which targets ended according to another router.
-func (c *Contact) handleSuspects(told []*zinccovev1.Suspect, from netip.AddrPort) {
-	for _, f := range c.options.Quarantine.Learn(told) {
+func (c *Contact) handleSuspects(suspects []*zinccovev1.Suspect, from netip.AddrPort) {
+	for _, f := range c.options.Quarantine.Learn(suspects) {
 		c.options.Log.Warn().Stringer("fingerprint", f).Stringer("peer", from).Msg("request barred, as another router says")
 	}
 }
--- a/contact/contact_test.go
+++ b/contact/contact_test.go
@@ -88,9 +88,9 @@
 	assert.Equal(t, cost, 0)
 	for range 5 {
 		n.clock.Advance(failureTimeout / 4)
-		gone, _ := a.Expire(time.Minute)
-		if len(gone) > 0 {
-			assert.Equal(t, gone[0].Name, "b")
+		failed, _ := a.Expire(time.Minute)
+		if len(failed) > 0 {
+			assert.Equal(t, failed[0].Name, "b")
 		}
 	}
 	assert.Equal(t, a.Publish(new(zinccovev1.RouterStatus)), 0)
@@ -101,7 +101,7 @@
 	assert.Equal(t, a.Publish(new(zinccovev1.RouterStatus)), 1)
 }
 
-func TestRoutersThatAreSilentForLongAreForgotten(t *testing.T) {
+func TestLongUnreachableRoutersAreForgotten(t *testing.T) {
 	n := newNetwork()
 	a, b := n.add(t, 0), n.add(t, 1)
 	b.beat(addressOf(0))
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -23,7 +23,7 @@
 		Host: &zinccovev1.HostInfo{Name: name, Peer: "127.0.0.1:7", StartedUnixMs: started}}
 }
 
-func TestHear(t *testing.T) {
+func TestRecordHeartbeat(t *testing.T) {
 	anonymous := &zinccovev1.Heartbeat{Incarnation: 1, Sequence: 9}
 	tests := []struct {
 		name  string
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestRestartWithAnEarlierClockIsTakenAfterSilence(t *testing.T) {
+func TestRestartWithAnEarlierClockIsAcceptedAfterTimeout(t *testing.T) {
 	table, clock := newTable()
 	table.RecordHeartbeat(beat("a", 2, 1, 20))
 	for range 5 {
@@ -66,16 +66,16 @@
 func TestSilentHostExpires(t *testing.T) {
 	table, clock := newTable()
 	table.RecordHeartbeat(beat("a", 1, 1, 10))
-	var gone []*Host
+	var failed []*Host
 	for range 5 {
 		clock.Advance(timeout / 4)
-		gone = append(gone, table.Expire()...)
+		failed = append(failed, table.Expire()...)
 	}
-	assert.Equal(t, len(gone), 1)
-	assert.Assert(t, !gone[0].Reachable)
+	assert.Equal(t, len(failed), 1)
+	assert.Assert(t, !failed[0].Reachable)
 }
 
-func TestOwnPauseIsNotSilenceOfOthers(t *testing.T) {
+func TestOwnPauseDoesNotExpireOthers(t *testing.T) {
 	table, clock := newTable()
 	table.RecordHeartbeat(beat("a", 1, 1, 10))
 	clock.Advance(time.Hour)
@@ -96,7 +96,7 @@
 	assert.Assert(t, !table.Hosts()[0].Leaving)
 }
 
-func TestForgetRemovesOnlyLongSilent(t *testing.T) {
+func TestForgetRemovesOnlyLongUnreachable(t *testing.T) {
 	table, clock := newTable()
 	table.Upsert(Address{Name: "never", Peer: netip.MustParseAddrPort("127.0.0.1:9")})
 	table.RecordHeartbeat(beat("a", 1, 1, 10))
--- a/owner/owner_test.go
+++ b/owner/owner_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestDataCentreWithoutRoutersIsAnsweredForElsewhere(t *testing.T) {
+func TestTargetsWithoutRoutersAreOwnedElsewhere(t *testing.T) {
 	targets, routers := fleet(3)
 	table := New(routers[:3])
 	first, _ := table.Owners(targets[319])
--- a/presence/presence_test.go
+++ b/presence/presence_test.go
@@ -342,11 +342,11 @@
 		if r.node == nil || r.ended {
 			continue
 		}
-		heard := r.node.LastSeen()
+		lastSeen := r.node.LastSeen()
 		for dc := range 5 {
 			name := fmt.Sprint("dc-", dc)
 			away := name != r.dataCentre && (name == f.cut || r.dataCentre == f.cut)
-			if name != r.dataCentre && f.clock.Since(heard[name]) > DataCentreTimeout != away {
+			if name != r.dataCentre && f.clock.Since(lastSeen[name]) > DataCentreTimeout != away {
 				wrong++
 			}
 		}
