--- a/feed/bench_test.go
+++ b/feed/bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkKeepalive is a look of a reader that knows all 325 rows, five times a second
-// for each of twenty readers: 5.4 us when all rows were looked through, 0.04 us since.
+// BenchmarkKeepalive is a poll by a reader that knows all 325 rows, as twenty readers make five
+// times a second each. Searching all rows takes 5.4 us for each poll, comparing revisions 0.04 us.
 func BenchmarkKeepalive(b *testing.B) {
 	l := newLog()
 	var rows []Row[string]
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -1,25 +1,24 @@
-// Package feed hands on what one router reads of a table of the platform's store.
+// Package feed forwards what one router reads of a table in the platform's store to other routers.
 //
-// A store prices each call, and a fleet whose routers all follow it by themselves
-// makes as many calls for each change as it has routers. So a
-// few routers of each data centre follow the store (LeaderCount) and the others follow
-// them. A Log keeps the newest state of each row, so that a reader can go on from any
-// revision since the router read the table whole, also when it followed another router
-// before; one that is further behind is given the whole table in pages, which are encoded
-// once for all readers. Nobody is elected: two routers that both follow cost calls, not
-// truth, as rows carry the store's revisions.
+// A store charges for each call, and a fleet in which each router follows the store makes as many
+// calls for each change as it has routers. Therefore a few routers of each data centre
+// (LeaderCount) follow the store and the others follow them. A Log holds the newest state of each
+// row, so that a reader can continue from any revision since the router read the complete table,
+// even if it followed another router before. A reader that is further behind receives the complete
+// table in pages, which are encoded once for all readers. No election is needed: two routers that
+// both follow the store cost calls, not correctness, as rows carry the store's revisions.
 //
 // The package has no I/O. A Log is safe for concurrent use.
 //
 // # Usage
 //
 //	l := feed.NewLog(feed.Options[platform.Change]{Clock: clock, Encode: encode, MaxBytes: 16 << 20})
-//	l.SetRetainRows(true)                // while others may ask
-//	l.Reset(revision, rows...)           // after reading the table whole
-//	l.Append(revision, rows...)          // each change
-//	l.Confirm(clock.Now())               // the store answered
-//	l.SetLost()                          // it does not answer
-//	news, changed, err := l.Since(known) // for a reader
+//	l.SetRetainRows(true)                   // while others may read
+//	l.Reset(revision, rows...)              // after reading the complete table
+//	l.Append(revision, rows...)             // each change
+//	l.Confirm(clock.Now())                  // the store responded
+//	l.SetLost()                             // the store does not respond
+//	changes, changed, err := l.Since(known) // for a reader
 package feed
 
 import (
@@ -34,28 +33,28 @@
 	"zinccove.example/zinccove/revision"
 )
 
-// Errors of a log.
+// Errors of a Log.
 var (
-	// ErrHistoryLost means that the log does not reach back to a revision.
+	// ErrHistoryLost means that the log does not reach back to the given revision.
 	ErrHistoryLost = eris.New("log does not reach back")
 	// ErrClosed means that the log was closed.
 	ErrClosed = eris.New("log closed")
 )
 
-// Row is a row of type R with what the log needs to know of it.
+// Row is a row of type R with the metadata that the log needs.
 type Row[R any] struct {
 	Key      string
 	Revision revision.Revision
-	// Removed rows tell only that there is no such row any more.
+	// Removed marks a row that was removed; only its key and revision are known.
 	Removed bool
-	// Age is the time since it was read from the store.
+	// Age is the time since the row was read from the store.
 	Age time.Duration
-	// Size is about the memory that it takes in bytes.
+	// Size is the approximate memory that the row takes, in bytes.
 	Size  int
 	Value R
 }
 
-// TimedRow is a row and when it was read.
+// TimedRow is a row with the time at which it was read.
 type TimedRow[R any] struct {
 	Row[R]
 	ReadAt time.Time
@@ -65,55 +64,54 @@
 type Changes[R any] struct {
 	// Rows are the newest states of the rows that changed since, by revision.
 	Rows []TimedRow[R]
-	// Complete tells that the log does not reach back, so that Pages have the whole table,
-	// as Options.Encode encoded them.
+	// Complete is set if the log does not reach back to the revision, so that Pages hold the
+	// complete table, as Options.Encode encoded them.
 	Complete bool
 	Pages    [][]byte
-	// Revision is that up to which the log knows the table.
+	// Revision is the revision up to which the log knows the table.
 	Revision revision.Revision
-	// StoreLost tells that the store does not answer the router.
+	// StoreLost is set if the store does not respond to the router.
 	StoreLost bool
-	// LastResponse is when the store last answered.
+	// LastResponse is when the store last responded.
 	LastResponse time.Time
 }
 
 // Options configure a Log. All are required.
 type Options[R any] struct {
 	Clock clockwork.Clock
-	// Encode encodes rows of a whole table for readers.
+	// Encode encodes rows of a complete table for readers.
 	Encode func(rows []Row[R]) []byte
-	// MaxBytes bounds the rows kept in bytes. Of a larger table nothing is kept, and readers
-	// that are behind read the store.
+	// MaxBytes limits the memory of the retained rows. No rows of a larger table are retained, and
+	// readers that are behind read the store.
 	MaxBytes int
 }
 
-// Log keeps the changes of a table.
+// Log holds the changes of a table.
 type Log[R any] struct {
 	options Options[R]
 
 	mu sync.Mutex
-	// keeping tells that rows are kept for readers.
-	keeping bool
-	// rows are the newest states by revision, among states that were replaced since, which
-	// are not live; at are the places of the live ones by key.
-	rows []slot[R]
-	at   map[string]int
-	// dead is the number of slots that are not live, removed that of live ones of rows that
-	// were removed.
+	// retain is set if rows are retained for readers.
+	retain bool
+	// rows are the newest states by revision, among replaced states, which are not live; slotOf are
+	// the indexes of the live ones by key.
+	rows   []slot[R]
+	slotOf map[string]int
+	// dead is the number of slots that are not live, removed that of live slots of removed rows.
 	dead, removed int
 	size          int
-	// tooLarge is set once the rows did not fit.
+	// tooLarge is set once the rows exceeded MaxBytes.
 	tooLarge bool
-	// pages are encoded rows, pageRows slots each; nil after one of them changed.
+	// pages are encoded rows, pageRows slots each; nil after a slot of the page changed.
 	pages [][]byte
-	// known is set once the table was read whole; what changed before base is not known row
-	// by row. Complete tells that all its rows are here; latest is the revision up to which
+	// initialized is set once the complete table was read; changes before base are not known row by
+	// row. Complete is set if all rows of the table are held; latest is the revision up to which
 	// they are known.
-	known        bool
+	initialized  bool
 	complete     bool
 	base, latest revision.Revision
-	answered     time.Time
-	lost         bool
+	lastResponse time.Time
+	storeLost    bool
 	closed       bool
 	// changed is closed at the next change.
 	changed chan struct{}
@@ -126,81 +124,82 @@
 }
 
 const (
-	// pageRows is the number of slots of a page: a change has no more of them encoded anew.
+	// pageRows is the number of slots of a page: a change causes at most this many of them to be
+	// encoded again.
 	pageRows = 128
-	// leastDead and mostRemoved bound what is kept of rows that were replaced or removed.
-	leastDead   = 4 * pageRows
-	mostRemoved = 4096
+	// minDeadSlots and maxRemovedRows limit the slots held for replaced and removed rows.
+	minDeadSlots   = 4 * pageRows
+	maxRemovedRows = 4096
 )
 
-// NewLog returns a log that knows nothing yet, and keeps no rows.
+// NewLog returns a log that knows no rows yet and retains none.
 func NewLog[R any](o Options[R]) *Log[R] {
-	return &Log[R]{options: o, at: make(map[string]int), changed: make(chan struct{})}
+	return &Log[R]{options: o, slotOf: make(map[string]int), changed: make(chan struct{})}
 }
 
-// SetRetainRows says whether rows are kept for readers. A log that begins to keep them is
+// SetRetainRows sets whether rows are retained for readers. A log that begins to retain them is
 // incomplete until the next Reset.
 func (l *Log[R]) SetRetainRows(keep bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.keeping && !keep {
-		l.forget()
+	if l.retain && !keep {
+		l.dropRows()
 	}
-	l.keeping = keep
+	l.retain = keep
 }
 
-// NeedsSnapshot reports whether the table has to be read whole before it can be given to readers.
+// NeedsSnapshot reports whether the complete table has to be read before readers can receive it.
 func (l *Log[R]) NeedsSnapshot() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.keeping && !l.complete && !l.tooLarge
+	return l.retain && !l.complete && !l.tooLarge
 }
 
-// forget drops all rows: what changed until now is not known row by row any more.
-func (l *Log[R]) forget() {
-	l.rows, l.pages, l.at = nil, nil, make(map[string]int)
+// dropRows removes all rows: changes until now are no longer known row by row.
+func (l *Log[R]) dropRows() {
+	l.rows, l.pages, l.slotOf = nil, nil, make(map[string]int)
 	l.dead, l.removed, l.size = 0, 0, 0
 	l.base, l.complete = l.latest, false
 }
 
-// Reset notes the rows of the table that was read whole at a revision. What changed
-// before is not known row by row.
+// Reset records the rows of the complete table, which was read at a revision. Changes before it are
+// not known row by row.
 func (l *Log[R]) Reset(at revision.Revision, rows ...Row[R]) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.latest = at
-	l.forget()
-	l.known, l.tooLarge = true, false
-	if l.keeping {
+	l.dropRows()
+	l.initialized, l.tooLarge = true, false
+	if l.retain {
 		l.complete = true
-		l.keep(rows)
+		l.retainRows(rows)
 	}
-	l.answer()
+	l.markReachable()
 }
 
-// Append notes rows that changed, up to a revision.
+// Append records rows that changed, up to a revision.
 func (l *Log[R]) Append(at revision.Revision, rows ...Row[R]) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.latest = revision.Later(l.latest, at)
-	if l.keeping {
-		l.keep(rows)
+	if l.retain {
+		l.retainRows(rows)
 	} else {
 		l.base = l.latest
 	}
-	l.answer()
+	l.markReachable()
 }
 
-// keep keeps rows as long as they are not too large.
-func (l *Log[R]) keep(rows []Row[R]) {
+// retainRows stores rows unless they exceed MaxBytes.
+func (l *Log[R]) retainRows(rows []Row[R]) {
 	now := l.options.Clock.Now()
 	inOrder := true
 	for _, r := range rows {
-		if i, known := l.at[r.Key]; known {
+		if i, known := l.slotOf[r.Key]; known {
 			if r.Revision.Before(l.rows[i].Revision) {
 				continue
 			}
-			l.kill(i)
+			l.markDead(i)
 		}
 		if n := len(l.rows); n > 0 && r.Revision.Before(l.rows[n-1].Revision) {
 			inOrder = false
@@ -209,16 +208,16 @@
 	}
 	switch {
 	case l.size > l.options.MaxBytes:
-		l.forget()
+		l.dropRows()
 		l.tooLarge = true
-	case !inOrder || l.dead > max(leastDead, len(l.rows)/2) || l.removed > 2*mostRemoved:
+	case !inOrder || l.dead > max(minDeadSlots, len(l.rows)/2) || l.removed > 2*maxRemovedRows:
 		l.compact()
 	}
 }
 
 // put adds a live slot.
 func (l *Log[R]) put(s slot[R]) {
-	l.at[s.Key] = len(l.rows)
+	l.slotOf[s.Key] = len(l.rows)
 	l.rows = append(l.rows, s)
 	l.size += s.Size
 	if s.Removed {
@@ -227,8 +226,8 @@
 	l.changePage(len(l.rows) - 1)
 }
 
-// kill marks a slot as replaced.
-func (l *Log[R]) kill(i int) {
+// markDead marks a slot as replaced.
+func (l *Log[R]) markDead(i int) {
 	s := &l.rows[i]
 	l.size -= s.Size
 	if s.Removed {
@@ -245,13 +244,13 @@
 	}
 }
 
-// compact brings the live slots in order and drops the others, and the oldest of those of
-// removed rows.
+// compact sorts the live slots and drops the others, and the oldest slots of removed rows beyond
+// maxRemovedRows.
 func (l *Log[R]) compact() {
 	live := slices.DeleteFunc(l.rows, func(s slot[R]) bool { return !s.live })
 	slices.SortStableFunc(live, func(a, b slot[R]) int { return a.Revision.Compare(b.Revision) })
-	drop := max(l.removed-mostRemoved, 0)
-	l.rows, l.pages, l.at = make([]slot[R], 0, len(live)), nil, make(map[string]int, len(live))
+	drop := max(l.removed-maxRemovedRows, 0)
+	l.rows, l.pages, l.slotOf = make([]slot[R], 0, len(live)), nil, make(map[string]int, len(live))
 	l.dead, l.removed, l.size = 0, 0, 0
 	for _, s := range live {
 		if s.Removed && drop > 0 {
@@ -263,37 +262,37 @@
 	}
 }
 
-// Confirm notes that the store answered at a time, this router or another one that follows
+// Confirm records that the store responded at a time, to this router or to another one that follows
 // it.
 func (l *Log[R]) Confirm(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.answered = at
-	if l.lost {
-		l.answer()
+	l.lastResponse = at
+	if l.storeLost {
+		l.markReachable()
 	}
 }
 
-// answer notes that the store is reached and wakes the readers.
-func (l *Log[R]) answer() {
-	if l.answered.IsZero() {
-		l.answered = l.options.Clock.Now()
+// markReachable records that the store is reachable and wakes the readers.
+func (l *Log[R]) markReachable() {
+	if l.lastResponse.IsZero() {
+		l.lastResponse = l.options.Clock.Now()
 	}
-	l.lost = false
+	l.storeLost = false
 	l.wake()
 }
 
-// SetLost notes that the store does not answer.
+// SetLost records that the store does not respond.
 func (l *Log[R]) SetLost() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.lost {
-		l.lost = true
+	if !l.storeLost {
+		l.storeLost = true
 		l.wake()
 	}
 }
 
-// Close ends the reading of all readers.
+// Close ends all readers.
 func (l *Log[R]) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -306,24 +305,24 @@
 	l.changed = make(chan struct{})
 }
 
-// Since returns what is known beyond a revision, and a channel that is closed when
-// that changes. A log that knows nothing yet counts as lost. A reader that knows an
-// earlier era is given the whole table: what it knows may be gone.
+// Since returns what is known beyond a revision, and a channel that is closed when that changes.
+// The store counts as lost for a log that knows no rows yet. A reader that knows an earlier era
+// receives the complete table: rows that it knows may no longer exist.
 func (l *Log[R]) Since(known revision.Revision) (Changes[R], <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.closed:
 		return Changes[R]{}, nil, ErrClosed
-	case l.known && known.Before(l.base) && !l.complete:
+	case l.initialized && known.Before(l.base) && !l.complete:
 		return Changes[R]{}, nil, ErrHistoryLost
 	}
-	n := Changes[R]{Revision: revision.Later(l.latest, known), StoreLost: l.lost || !l.known, LastResponse: l.answered}
-	n.Complete = l.known && known.Before(l.base)
+	n := Changes[R]{Revision: revision.Later(l.latest, known), StoreLost: l.storeLost || !l.initialized, LastResponse: l.lastResponse}
+	n.Complete = l.initialized && known.Before(l.base)
 	switch {
 	case !known.Before(l.latest):
 	case n.Complete:
-		n.Pages = l.wholeTable()
+		n.Pages = l.encodedPages()
 	default:
 		n.Rows = l.rowsAfter(known)
 	}
@@ -342,9 +341,9 @@
 	return rows
 }
 
-// wholeTable returns the pages of all rows that were not removed. Those that were encoded
-// before and did not change are given again.
-func (l *Log[R]) wholeTable() [][]byte {
+// encodedPages returns the pages of all rows that were not removed. Pages that did not change since
+// they were encoded are reused.
+func (l *Log[R]) encodedPages() [][]byte {
 	for len(l.pages)*pageRows < len(l.rows) {
 		l.pages = append(l.pages, nil)
 	}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -20,12 +20,12 @@
 	return Row[string]{Key: key, Revision: at(version), Size: 10, Value: fmt.Sprint(key, version)}
 }
 
-// most is the size of a log under test in bytes.
-const most = 1 << 20
+// maxBytes is the size limit of a log under test.
+const maxBytes = 1 << 20
 
-// newLog returns a log that keeps rows, and packs values one on a line.
+// newLog returns a log that retains rows, and encodes values one per line.
 func newLog() *Log[string] {
-	l := NewLog(Options[string]{Clock: clockwork.NewFakeClock(), MaxBytes: most, Encode: func(rows []Row[string]) []byte {
+	l := NewLog(Options[string]{Clock: clockwork.NewFakeClock(), MaxBytes: maxBytes, Encode: func(rows []Row[string]) []byte {
 		var page []byte
 		for _, r := range rows {
 			page = append(page, r.Value+"\n"...)
@@ -36,7 +36,7 @@
 	return l
 }
 
-// unpack returns the values of pages.
+// unpack returns the values in pages.
 func unpack(pages [][]byte) []string { return strings.Fields(string(bytes.Join(pages, nil))) }
 
 func keys(t *testing.T, l *Log[string], since uint64) []string {
@@ -50,7 +50,7 @@
 	return list
 }
 
-func TestReadersGoOnFromTheirVersion(t *testing.T) {
+func TestReadersContinueFromTheirRevision(t *testing.T) {
 	l := newLog()
 	l.Reset(at(5))
 	l.Append(at(7), row("a", 6), row("b", 7))
@@ -58,13 +58,13 @@
 	assert.DeepEqual(t, keys(t, l, 5), []string{"b7", "a9"})
 	assert.DeepEqual(t, keys(t, l, 7), []string{"a9"})
 	assert.Equal(t, len(keys(t, l, 9)), 0)
-	assert.Equal(t, len(keys(t, l, 20)), 0, "a reader that knows more is told nothing")
+	assert.Equal(t, len(keys(t, l, 20)), 0, "a reader that knows more receives no rows")
 	n, _, err := l.Since(at(20))
 	assert.NilError(t, err)
-	assert.Equal(t, n.Revision, at(20), "and is not taken back")
+	assert.Equal(t, n.Revision, at(20), "its revision does not go back")
 }
 
-func TestReadersBehindTheLogAreGivenTheWholeTable(t *testing.T) {
+func TestReadersBehindTheLogReceiveTheCompleteTable(t *testing.T) {
 	l := newLog()
 	l.Reset(at(5), row("a", 2), row("b", 4))
 	l.Append(at(6), row("a", 6))
@@ -82,22 +82,22 @@
 	l := newLog()
 	l.Reset(at(5))
 	big := row("big", 6)
-	big.Size = most + 1
+	big.Size = maxBytes + 1
 	l.Append(at(6), big)
 	_, _, err := l.Since(at(5))
 	assert.Assert(t, eris.Is(err, ErrHistoryLost), "memory is bounded")
-	assert.Assert(t, !l.NeedsSnapshot(), "reading it again would not help")
+	assert.Assert(t, !l.NeedsSnapshot(), "another snapshot would be too large again")
 	l.Append(at(8), row("c", 8))
 	assert.DeepEqual(t, keys(t, l, 6), []string{"c8"})
 	l.Reset(at(30), row("d", 9))
 	n, _, err := l.Since(at(8))
 	assert.NilError(t, err)
-	assert.Assert(t, n.Complete, "the store lost its history in between, so that removals are not known")
+	assert.Assert(t, n.Complete, "the store lost its history in between, so removals are unknown")
 }
 
-// TestTablesOfThousandsAreGivenWhole has a reader that is behind a table of 3,000 targets,
-// which fits the log.
-func TestTablesOfThousandsAreGivenWhole(t *testing.T) {
+// TestLargeTableIsReadCompletely reads a table of 3,000 targets, which fits the log, as a
+// reader that is behind.
+func TestLargeTableIsReadCompletely(t *testing.T) {
 	const targets = 3000
 	l := newLog()
 	var rows []Row[string]
@@ -115,10 +115,10 @@
 	assert.DeepEqual(t, keys(t, l, targets), []string{"t53001"})
 }
 
-// TestReadersUpToDateAreToldNothing has a table read in pages while it changed: its rows
-// are newer than the version that it was read at. What is newer comes with the next
-// changes, not with every keepalive until then.
-func TestReadersUpToDateAreToldNothing(t *testing.T) {
+// TestUpToDateReadersReceiveNothing guards against sending the same rows with every keepalive. A
+// table that changed while it was read in pages has rows that are newer than the revision it was
+// read at; they must only be sent with the next changes.
+func TestUpToDateReadersReceiveNothing(t *testing.T) {
 	l := newLog()
 	l.Reset(at(5), row("a", 3), row("b", 8))
 	assert.Equal(t, len(keys(t, l, 5)), 0)
@@ -142,22 +142,22 @@
 	}
 	n, _, err := l.Since(at(0))
 	assert.NilError(t, err)
-	assert.Assert(t, n.StoreLost, "nothing is known yet")
+	assert.Assert(t, n.StoreLost, "the table was not read yet")
 	wakes("the first table", func() { l.Reset(at(5)) })
 	wakes("a change", func() { l.Append(at(6), row("a", 6)) })
 	wakes("the loss of the store", l.SetLost)
 	n, _, err = l.Since(at(6))
 	assert.NilError(t, err)
 	assert.Assert(t, n.StoreLost)
-	wakes("its return", func() { l.Confirm(l.options.Clock.Now()) })
-	wakes("the end", l.Close)
+	wakes("the response of the store", func() { l.Confirm(l.options.Clock.Now()) })
+	wakes("the close", l.Close)
 	_, _, err = l.Since(at(6))
 	assert.Assert(t, eris.Is(err, ErrClosed))
 }
 
-// TestReaderOfAnEarlierEraIsGivenTheWholeTable has the store come back from a copy: counts go
-// back, and what a reader knows by a higher count of the era before may be gone.
-func TestReaderOfAnEarlierEraIsGivenTheWholeTable(t *testing.T) {
+// TestReaderOfAnEarlierEraReceivesTheCompleteTable restores the store from a backup: its count goes
+// back, and rows that a reader knows by a higher count of the earlier era may no longer exist.
+func TestReaderOfAnEarlierEraReceivesTheCompleteTable(t *testing.T) {
 	inEra := func(era, count uint64) revision.Revision { return revision.Revision{Era: era, Count: count} }
 	l := newLog()
 	l.Reset(inEra(1, 90), row("a", 90))
@@ -171,12 +171,12 @@
 	assert.DeepEqual(t, unpack(n.Pages), []string{"a40"})
 	n, _, err = l.Since(inEra(3, 5))
 	assert.NilError(t, err)
-	assert.Assert(t, !n.Complete && len(n.Rows) == 0, "a reader that knows a later era is told nothing")
+	assert.Assert(t, !n.Complete && len(n.Rows) == 0, "a reader that knows a later era receives no rows")
 }
 
-// TestPagesAreEncodedOnceForAllReaders has many readers read a table of tens of thousands of
-// rows whole, and again after single changes: what is encoded grows with the changes, not
-// with the readers.
+// TestPagesAreEncodedOnceForAllReaders has many readers read a complete table of tens of thousands
+// of rows, and again after single changes: the rows encoded must grow with the number of changes,
+// not of readers.
 func TestPagesAreEncodedOnceForAllReaders(t *testing.T) {
 	for _, rows := range []int{1000, 10_000, 20_000} {
 		l := newLog()
@@ -208,7 +208,7 @@
 	}
 }
 
-// TestLogOfManyChangesStaysSmall writes rows again and again, and has some removed.
+// TestLogOfManyChangesStaysSmall writes rows repeatedly and removes some.
 func TestLogOfManyChangesStaysSmall(t *testing.T) {
 	l := newLog()
 	l.Reset(at(1))
@@ -219,42 +219,42 @@
 			l.Append(at(version), row(fmt.Sprint("t", i, "-"), version))
 		}
 		version++
-		gone := row(fmt.Sprint("gone", round), version)
-		gone.Removed = true
-		l.Append(at(version), gone)
+		removed := row(fmt.Sprint("gone", round), version)
+		removed.Removed = true
+		l.Append(at(version), removed)
 	}
-	assert.Assert(t, len(l.rows) < 2*(100+400)+leastDead, "%d slots", len(l.rows))
+	assert.Assert(t, len(l.rows) < 2*(100+400)+minDeadSlots, "%d slots", len(l.rows))
 	n, _, err := l.Since(at(0))
 	assert.NilError(t, err)
-	assert.Equal(t, len(unpack(n.Pages)), 100, "removed rows are not in the whole table")
+	assert.Equal(t, len(unpack(n.Pages)), 100, "removed rows are not in the complete table")
 	n, _, err = l.Since(at(version - 101))
 	assert.NilError(t, err)
-	assert.Equal(t, len(n.Rows), 101, "but are told of to those who may know them")
+	assert.Equal(t, len(n.Rows), 101, "readers that may know removed rows are notified")
 	assert.Assert(t, n.Rows[100].Removed)
 }
 
-// TestRemovedRowsAreForgottenInTheEnd has more rows removed than are remembered: who may have
-// known the first of them is given the whole table.
-func TestRemovedRowsAreForgottenInTheEnd(t *testing.T) {
+// TestOldestRemovedRowsAreDropped removes more rows than the log retains: a reader that may
+// know the first of them must receive the complete table.
+func TestOldestRemovedRowsAreDropped(t *testing.T) {
 	l := newLog()
 	l.Reset(at(1))
-	const gone = 2*mostRemoved + 1
-	for i := range gone {
+	const removals = 2*maxRemovedRows + 1
+	for i := range removals {
 		r := row(fmt.Sprint("t", i), uint64(i+2))
 		r.Removed = true
 		l.Append(at(uint64(i+2)), r)
 	}
-	assert.Assert(t, len(l.rows) <= mostRemoved)
+	assert.Assert(t, len(l.rows) <= maxRemovedRows)
 	n, _, err := l.Since(at(2))
 	assert.NilError(t, err)
 	assert.Assert(t, n.Complete)
-	n, _, err = l.Since(at(gone))
+	n, _, err = l.Since(at(removals))
 	assert.NilError(t, err)
 	assert.Equal(t, len(n.Rows), 1)
 }
 
-// TestLogThatKeepsNothingSaysSo has a log begin to keep rows after it was read.
-func TestLogThatKeepsNothingSaysSo(t *testing.T) {
+// TestLogWithoutRetainedRowsReportsLostHistory begins to retain rows after the table was read.
+func TestLogWithoutRetainedRowsReportsLostHistory(t *testing.T) {
 	l := newLog()
 	l.SetRetainRows(false)
 	assert.Assert(t, !l.NeedsSnapshot())
--- a/feed/leaders.go
+++ b/feed/leaders.go
@@ -9,39 +9,41 @@
 
 const (
 	// LeaderCount is the number of routers of each data centre that follow the store for the
-	// others, and of relays of each cell: two may be lost in the same moment without a router
-	// that has to find out by a time-out of its own.
+	// others, and of relays of each cell: two may fail at the same moment without any router having
+	// to wait for a timeout of its own.
 	LeaderCount = 3
-	// CellSize is the most routers of a cell, on average. Each relay serves a part of them.
+	// CellSize is the maximum average number of routers of a cell. Each relay serves a part of
+	// them.
 	CellSize = 64
 )
 
 // Role is what a router does for the others of its data centre.
 //
-// The first LeaderCount by name follow the store. In a large data centre the routers are spread
-// over cells by the hashes of their names, and the first LeaderCount of each cell, its relays,
-// follow the leaders and serve the cell: so nobody serves more routers than a cell has,
-// however many there are. Routers that see others differently for a while ask some that do
-// not serve, and go on to the next.
+// The first LeaderCount routers by name follow the store. In a large data centre the routers are
+// distributed over cells by the hashes of their names, and the first LeaderCount of each cell, its
+// relays, follow the leaders and serve the cell. So no router serves more routers than a cell has
+// and the relays of all cells, however many there are. Routers that temporarily disagree on which
+// routers are reachable may try some that do not serve, and then try the next.
 type Role struct {
-	// Rank is the place among the routers of the data centre that can be reached, by name.
+	// Rank is the index among the reachable routers of the data centre, by name.
 	Rank int
-	// Leads tells that the router follows the store.
+	// Leads is set if the router follows the store.
 	Leads bool
-	// Serves tells that others may follow this router.
+	// Serves is set if others may follow this router.
 	Serves bool
-	// Retains tells that the router serves, or is among the next to.
+	// Retains is set if the router retains rows for others: it serves, or is among the next that
+	// will.
 	Retains bool
 	// Cell are the other routers of the cell, by name.
 	Cell []string
-	// Relays are the first of the cell that are not this one, by name.
+	// Relays are the first LeaderCount other routers of the cell, by name.
 	Relays []string
-	// Sources are the routers to follow in the order to try them; none if the router leads.
+	// Sources are the routers to follow, in the order to try them; none if the router leads.
 	Sources []string
 }
 
-// RoleOf returns the role of a router among the others of its data centre that can be
-// reached, of which so many are known at all, itself included.
+// RoleOf returns the role of a router among the other reachable routers of its data centre. Known
+// is the number of all known routers there, itself included.
 func RoleOf(self string, others []string, known int) Role {
 	all := append(slices.Clone(others), self)
 	slices.Sort(all)
@@ -76,8 +78,8 @@
 	return r
 }
 
-// CellCount is the number of cells of a data centre with so many known routers. It doubles when
-// they have outgrown their size, so that few routers change their cell.
+// CellCount returns the number of cells of a data centre with the given number of known routers. It
+// doubles when the cells would exceed CellSize, so that few routers change their cell.
 func CellCount(routers int) int {
 	full := (routers + CellSize - 1) / CellSize
 	if full <= 1 {
@@ -86,10 +88,10 @@
 	return 1 << bits.Len(uint(full-1))
 }
 
-// CellOf returns the cell of a router among so many, from 0 on.
+// CellOf returns the index of a router's cell, from 0 on, among the given number of cells.
 func CellOf(name string, cells int) int { return int(xxhash.Sum64String(name) % uint64(cells)) }
 
-// Relays returns the first routers of a cell among those of a data centre, by name.
+// Relays returns the relays of a cell among the routers of a data centre, by name.
 func Relays(cell, cells int, routers []string) []string {
 	var first []string
 	for _, name := range slices.Sorted(slices.Values(routers)) {
@@ -104,7 +106,7 @@
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == name })
 }
 
-// rotate has routers begin with different sources, so that each serves a part of them.
+// rotate makes routers begin with different sources, so that each source serves a part of them.
 func rotate(names []string, by int) []string {
 	if len(names) == 0 {
 		return nil
--- a/feed/leaders_test.go
+++ b/feed/leaders_test.go
@@ -16,9 +16,9 @@
 	return all
 }
 
-// TestEveryRouterIsServedByFew has data centres of all sizes: the leaders alone follow the
-// store, each router finds one that serves it in two steps at most, and nobody serves more
-// than a part of a cell and the relays of all cells, whatever the size.
+// TestEveryRouterIsServedByFew checks data centres of all sizes: only the leaders follow the store,
+// each router has a source that serves it and reaches the store in two steps at most, and no router
+// serves more than a part of a cell and the relays of all cells.
 func TestEveryRouterIsServedByFew(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 9, 59, 64, 65, 217, 435, 1000} {
 		all := routers(n)
@@ -53,7 +53,7 @@
 	}
 }
 
-// TestSmallDataCentresAreOneCell has the leaders serve all others of a small data centre.
+// TestSmallDataCentresAreOneCell checks that the leaders serve all others of a small data centre.
 func TestSmallDataCentresAreOneCell(t *testing.T) {
 	all := routers(CellSize)
 	for i, self := range all {
@@ -66,7 +66,8 @@
 	}
 }
 
-// TestLossOfRoutersKeepsCells has half of a data centre go: the others stay in their cells.
+// TestLossOfRoutersKeepsCells removes half of the routers of a data centre: the others must stay in
+// their cells.
 func TestLossOfRoutersKeepsCells(t *testing.T) {
 	all := routers(217)
 	before := RoleOf(all[200], append(slices.Clone(all[:200]), all[201:]...), len(all))
@@ -77,7 +78,7 @@
 	assert.Equal(t, after.Rank, 100)
 }
 
-// TestRelaysAreThoseOfTheirCell compares what others expect of a cell with the roles.
+// TestRelaysAreThoseOfTheirCell compares the relays of each cell with the roles of its routers.
 func TestRelaysAreThoseOfTheirCell(t *testing.T) {
 	all := routers(217)
 	cells := CellCount(len(all))
