--- a/follow/follow.go
+++ b/follow/follow.go
@@ -1,15 +1,14 @@
-// Package follow keeps up with a table of the platform without polling it.
+// Package follow follows a table of the platform without polling it at intervals.
 //
-// The table is read whole once; from then on a feed is held open that answers
-// when rows change. A failure is retried after a pause that grows. When the
-// table does not know its history any more, it is read whole again.
+// The complete table is read once as a snapshot; from then on a feed request is held open until
+// rows change. A failure is retried with exponential backoff. When the store no longer has the
+// history since the last revision, a new snapshot is read.
 //
-// A store may take a call and never answer it, while its connections stay up and
-// it answers later calls. Such a call cannot be told from a feed without news until
-// the time is over for which it was to be held. This time is therefore the bound
-// on how old the news of a follower can be, and Options.Hold should give each
-// process of a fleet another one, so that the first finds out early and can tell
-// the others.
+// A store may accept a call and never respond to it, while its connections stay up and it responds
+// to later calls. Such a call cannot be told apart from a feed without changes until its hold time
+// has elapsed. The hold time therefore bounds how old the data of a follower can be, and
+// Options.Hold should give each process of a fleet a different one, so that the first detects the
+// failure early and can notify the others.
 //
 // # Usage
 //
@@ -17,7 +16,7 @@
 //		Clock: clock, Snapshot: snapshot, Feed: feed, // calls of the client, bound to a table
 //		Hold: func() time.Duration { return 2 * time.Second },
 //		HistoryLost: func(err error) bool { return eris.Is(err, platform.ErrHistoryLost) },
-//		OnSnapshot:  func(b platform.Batch) { ... }, // all rows
+//		OnSnapshot:  func(b platform.Batch) { ... }, // the complete table
 //		OnChanges:   func(b platform.Batch) { ... }, // rows written or removed since
 //		OnLost:      func(l follow.Loss) { ... }, OnRegained: func() { ... }, OnSuccess: func() { ... },
 //	})
@@ -34,35 +33,34 @@
 	"zinccove.example/zinccove/revision"
 )
 
-// Options configure a follower of batches of type B. All but Full and
-// BatchDelay are required.
+// Options configure a follower of batches of type B. All but Full and BatchDelay are required.
 type Options[B any] struct {
 	Clock clockwork.Clock
-	// Snapshot reads the whole table and returns the revision it is of.
+	// Snapshot reads the complete table and returns its revision.
 	Snapshot func(context.Context) (B, revision.Revision, error)
 	// Feed waits for changes after a revision and returns the next revision.
 	Feed func(ctx context.Context, since revision.Revision, wait time.Duration) (B, revision.Revision, error)
-	// HistoryLost tells whether an error of Feed asks for a new snapshot.
+	// HistoryLost reports whether an error of Feed requires a new snapshot.
 	HistoryLost func(error) bool
-	// OnSnapshot takes a snapshot, Changed what followed it.
+	// OnSnapshot is called with each snapshot, OnChanges with the changes after it.
 	OnSnapshot func(B)
 	OnChanges  func(B)
 	// OnLost is called with the first of a series of failures, OnRegained with the
 	// first success after it.
 	OnLost     func(Loss)
 	OnRegained func()
-	// OnSuccess is called with each success.
+	// OnSuccess is called after each successful call.
 	OnSuccess func()
-	// Hold is how long the next feed is held open without news.
+	// Hold returns how long the next feed request is held open without changes.
 	Hold func() time.Duration
-	// Full reports whether a batch has as much as one answer can have, so that more waits to
-	// be asked for at once; nil takes none for full.
+	// Full reports whether a batch has the maximum size of a response, so that more changes may be
+	// pending and are requested immediately; if nil, no batch counts as full.
 	Full func(B) bool
-	// BatchDelay is how long to wait at most after changes before asking for more, so
-	// that changes in quick succession come in one answer; nil asks at once. The
-	// wait is drawn from its last quarter: processes that read the same change would
-	// otherwise all ask again at the same moment, and all be without news if that
-	// moment is a bad one.
+	// BatchDelay returns the maximum time to wait after changes before requesting more, so that
+	// changes in quick succession arrive in one response; if nil, more are requested immediately.
+	// The actual wait is drawn from the last quarter of this time: otherwise all processes that
+	// read the same change would send the next request at the same moment, and none would receive
+	// changes if that moment is a bad one.
 	BatchDelay func() time.Duration
 }
 
@@ -71,23 +69,22 @@
 	Err error
 	// Since is the revision that was followed from, zero before the table was read.
 	Since revision.Revision
-	// Waited is how long the call that failed had been under way, SinceResponse the time
-	// since the last answer; 0 if there was none.
+	// Waited is how long the failed call had been in progress, SinceResponse the time since the
+	// last response; 0 if there was none.
 	Waited        time.Duration
 	SinceResponse time.Duration
 }
 
 const (
-	// firstPause is the time after the first failure; it doubles up to
-	// longestPause, which keeps below the second within which targets that lost
-	// their entries write them again.
-	firstPause   = 50 * time.Millisecond
-	longestPause = 800 * time.Millisecond
+	// minBackoff is the mean delay after the first failure; it doubles up to maxBackoff, which
+	// stays below the second within which targets that lost their entries write them again.
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 800 * time.Millisecond
 )
 
-// errEarlierEra means that a table read whole is older than what is known: who gave it has
-// not noticed yet that the store came back from a copy.
-var errEarlierEra = eris.New("table of an earlier era of the store")
+// errEarlierEra means that a snapshot is of an earlier era than the known revision: its source has
+// not yet detected that the store was restored from a backup.
+var errEarlierEra = eris.New("snapshot is of an earlier era of the store")
 
 // Run follows until ctx ends. It returns nil; failures go to Options.Lost.
 func Run[B any](ctx context.Context, o Options[B]) error {
@@ -106,38 +103,38 @@
 	// since is the revision followed from; known is set once the table was read.
 	since revision.Revision
 	known bool
-	// lost is set from a failure to the next success; pause is the mean wait
-	// after the last failure.
-	lost  bool
-	pause time.Duration
-	// asked is when the last call was made, heard when one was last answered.
-	asked time.Time
-	heard time.Time
+	// lost is set from a failure to the next success; backoff is the mean delay after the last
+	// failure.
+	lost    bool
+	backoff time.Duration
+	// lastCall is when the last call was made, lastResponse when a call last succeeded.
+	lastCall     time.Time
+	lastResponse time.Time
 }
 
-// step reads the table or waits for its next changes.
+// step reads a snapshot or waits for the next changes.
 func (f *follower[B]) step(ctx context.Context) error {
 	var (
 		batch B
 		since revision.Revision
 		err   error
 	)
-	whole := !f.known
-	f.asked = f.options.Clock.Now()
-	if whole {
+	snapshot := !f.known
+	f.lastCall = f.options.Clock.Now()
+	if snapshot {
 		batch, since, err = f.options.Snapshot(ctx)
 	} else {
-		batch, since, err = f.options.Feed(ctx, f.since, f.wait())
+		batch, since, err = f.options.Feed(ctx, f.since, f.holdTime())
 	}
 	switch {
 	case err != nil:
 		return err
-	case whole && since.OfEarlierEra(f.since):
+	case snapshot && since.OfEarlierEra(f.since):
 		return errEarlierEra
 	}
 	f.succeeded()
 	f.since, f.known = revision.Later(since, f.since), true
-	if whole {
+	if snapshot {
 		f.options.OnSnapshot(batch)
 		return nil
 	}
@@ -145,29 +142,29 @@
 	if f.options.BatchDelay == nil || f.options.Full != nil && f.options.Full(batch) {
 		return nil
 	}
-	f.rest(ctx, settled(f.options.BatchDelay()))
+	f.sleep(ctx, batchDelay(f.options.BatchDelay()))
 	return nil
 }
 
-// settled draws how long to collect changes for at most so long.
-func settled(most time.Duration) time.Duration {
-	if most <= 0 {
+// batchDelay draws the time to wait for further changes, which is at most the given one.
+func batchDelay(limit time.Duration) time.Duration {
+	if limit <= 0 {
 		return 0
 	}
-	return most - rand.N(most/4+1)
+	return limit - rand.N(limit/4+1)
 }
 
-// rest waits for d, or until ctx ends.
-func (f *follower[B]) rest(ctx context.Context, d time.Duration) {
+// sleep waits for d, or until ctx ends.
+func (f *follower[B]) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-f.options.Clock.After(d):
 	}
 }
 
-// wait is how long the next feed is held open: not at all after a failure, so
-// that the end of an outage is known at once.
-func (f *follower[B]) wait() time.Duration {
+// holdTime returns how long the next feed request is held open: zero after a failure, so that the
+// end of an outage is detected immediately.
+func (f *follower[B]) holdTime() time.Duration {
 	if f.lost {
 		return 0
 	}
@@ -175,8 +172,8 @@
 }
 
 func (f *follower[B]) succeeded() {
-	f.pause = 0
-	f.heard = f.options.Clock.Now()
+	f.backoff = 0
+	f.lastResponse = f.options.Clock.Now()
 	if f.lost {
 		f.lost = false
 		f.options.OnRegained()
@@ -193,16 +190,16 @@
 		f.lost = true
 		f.options.OnLost(f.loss(err))
 	}
-	f.pause = min(max(2*f.pause, firstPause), longestPause)
-	f.rest(ctx, f.pause/2+rand.N(f.pause))
+	f.backoff = min(max(2*f.backoff, minBackoff), maxBackoff)
+	f.sleep(ctx, f.backoff/2+rand.N(f.backoff))
 }
 
-// loss describes a failure of the last call.
+// loss describes the failure of the last call.
 func (f *follower[B]) loss(err error) Loss {
 	now := f.options.Clock.Now()
-	l := Loss{Err: err, Since: f.since, Waited: now.Sub(f.asked)}
-	if !f.heard.IsZero() {
-		l.SinceResponse = now.Sub(f.heard)
+	l := Loss{Err: err, Since: f.since, Waited: now.Sub(f.lastCall)}
+	if !f.lastResponse.IsZero() {
+		l.SinceResponse = now.Sub(f.lastResponse)
 	}
 	return l
 }
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -20,12 +20,12 @@
 
 const testHold = 3 * time.Second
 
-// script answers the calls of a follower in turn, then ends it.
+// script returns the results of a follower's calls in turn, then ends it.
 type script struct {
 	cancel context.CancelFunc
 	steps  []step
 	log    []string
-	// held are the times for which feeds were to be held.
+	// held are the hold times of the feed requests.
 	held []time.Duration
 }
 
@@ -75,7 +75,7 @@
 	g.Go(func() error {
 		for ctx.Err() == nil {
 			if clock.BlockUntilContext(ctx, 1) == nil {
-				clock.Advance(longestPause * 2)
+				clock.Advance(maxBackoff * 2)
 			}
 		}
 		return nil
@@ -92,43 +92,43 @@
 	assert.DeepEqual(t, s.run(t), []string{"snapshot", "whole all", "feed", "changed one", "feed"})
 }
 
-func TestLossIsToldOnceAndSoIsItsEnd(t *testing.T) {
+func TestLossAndRecoveryAreReportedOnce(t *testing.T) {
 	s := script{steps: []step{{err: errDown}, {err: errDown}, {batch: "all", next: 5}, {err: errDown}, {batch: "one", next: 6}}}
 	assert.DeepEqual(t, s.run(t), []string{
 		"snapshot", "lost", "snapshot", "snapshot", "regained", "whole all", "feed", "lost", "feed", "regained", "changed one", "feed",
 	})
 }
 
-func TestLostHistoryIsReadWholeAgain(t *testing.T) {
+func TestLostHistoryRequiresNewSnapshot(t *testing.T) {
 	s := script{steps: []step{{batch: "all", next: 5}, {err: errForgotten}, {batch: "again", next: 9}}}
 	assert.DeepEqual(t, s.run(t), []string{"snapshot", "whole all", "feed", "snapshot", "whole again", "feed"})
 }
 
-// TestFeedsAreHeldAsLongAsSaid holds the bound on how old the news of a follower
-// can be: a store that never answers a call is noticed when that time is over.
-func TestFeedsAreHeldAsLongAsSaid(t *testing.T) {
+// TestFeedsAreHeldForTheHoldTime checks the bound on how old the data of a follower can be: a store
+// that never responds to a call is detected when the hold time elapses.
+func TestFeedsAreHeldForTheHoldTime(t *testing.T) {
 	s := script{steps: []step{{batch: "all", next: 5}, {batch: "one", next: 6}, {err: errDown}, {batch: "two", next: 7}}}
 	s.run(t)
 	assert.DeepEqual(t, s.held, []time.Duration{testHold, testHold, 0, testHold})
 }
 
-// TestChangesAreNotCollectedInStep has processes that read the same change ask
-// again at different moments, never later than they may.
-func TestChangesAreNotCollectedInStep(t *testing.T) {
+// TestBatchDelaysVary checks that processes that read the same change send the next
+// request at different moments, never later than the maximum.
+func TestBatchDelaysVary(t *testing.T) {
 	const most = time.Second
 	least, longest := most, time.Duration(0)
 	for range 1000 {
-		d := settled(most)
+		d := batchDelay(most)
 		least, longest = min(least, d), max(longest, d)
 	}
 	assert.Assert(t, least >= most*3/4 && longest <= most, "%v to %v", least, longest)
 	assert.Assert(t, longest-least > most/8)
-	assert.Equal(t, settled(0), time.Duration(0))
+	assert.Equal(t, batchDelay(0), time.Duration(0))
 }
 
-// TestTableOfAnEarlierEraIsNotTaken has a table read whole from somebody who has not noticed
-// that the store came back from a copy.
-func TestTableOfAnEarlierEraIsNotTaken(t *testing.T) {
+// TestSnapshotOfAnEarlierEraIsRejected reads a snapshot from a source that has not detected that the
+// store was restored from a backup.
+func TestSnapshotOfAnEarlierEraIsRejected(t *testing.T) {
 	s := script{steps: []step{
 		{batch: "all", next: 90}, {err: errForgotten}, {batch: "copy", era: 1, next: 40}, {err: errForgotten},
 		{batch: "stale", next: 95}, {batch: "again", era: 1, next: 41},
@@ -138,14 +138,14 @@
 	})
 }
 
-// TestFullAnswersAreFollowedAtOnce has a table change faster than one answer carries: what
-// waits behind a full answer is not collected any longer.
-func TestFullAnswersAreFollowedAtOnce(t *testing.T) {
+// TestFullBatchesSkipTheBatchDelay changes a table faster than one response carries: the changes
+// behind a full response must be requested without delay.
+func TestFullBatchesSkipTheBatchDelay(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	asked := 0
 	err := Run(ctx, Options[string]{
-		Clock: clockwork.NewFakeClock(), // which nobody advances
+		Clock: clockwork.NewFakeClock(), // never advanced
 		Snapshot: func(context.Context) (string, revision.Revision, error) {
 			return "all", revision.Revision{Count: 1}, nil
 		},
