--- a/revision/revision.go
+++ b/revision/revision.go
@@ -1,11 +1,11 @@
-// Package revision orders what is read from the platform's store.
+// Package revision orders what routers read from the platform's store.
 //
-// The store counts its transactions, and each row carries the count of its last write.
-// The store may come back from a copy that is some seconds old. What it acknowledged since
-// is gone, the count goes back and numbers are given out a second time, so that a count
-// alone orders nothing. The store therefore tells its era, which rises each time. Only era
-// and count together order what routers read, keep and tell each other; they are compared
-// nowhere but here.
+// The store counts its transactions, and each row carries the count of its last write. The store
+// may be restored from a backup that is some seconds old. What it acknowledged after the backup is
+// then lost, the count goes back and the same numbers are assigned again, so that a count alone
+// defines no order. The store therefore reports its era, which increases with each restore. Only
+// era and count together order what routers read, store and exchange; they are compared in this
+// package only.
 //
 // # Usage
 //
@@ -20,15 +20,15 @@
 	"time"
 )
 
-// MaxBackupAge is longer than a copy is old from which the store may come back: what was written
-// before that is in it.
+// MaxBackupAge exceeds the age of any backup that the store may be restored from: writes that are
+// older are part of the backup.
 const MaxBackupAge = time.Minute
 
-// Revision is a state of the store, or the last write of a row as it was read in an era.
-// The zero Revision comes before all others.
+// Revision is a state of the store, or the last write of a row as it was read in an era. The zero
+// Revision comes before all others.
 type Revision struct {
 	Era uint64
-	// Count is that of the store's transactions in the era.
+	// Count is the number of the store's transactions in the era.
 	Count uint64
 }
 
@@ -40,16 +40,16 @@
 // Before reports whether r comes before o.
 func (r Revision) Before(o Revision) bool { return r.Compare(o) < 0 }
 
-// OfEarlierEra reports whether the store came back from a copy between r and o.
+// OfEarlierEra reports whether the store was restored from a backup between r and o.
 func (r Revision) OfEarlierEra(o Revision) bool { return r.Era < o.Era }
 
-// IsZero reports whether r is that of nothing.
+// IsZero reports whether r is the zero Revision.
 func (r Revision) IsZero() bool { return r == Revision{} }
 
-// String returns era and count as they stand in logs.
+// String returns era and count in the form of the logs.
 func (r Revision) String() string { return fmt.Sprintf("%d.%d", r.Era, r.Count) }
 
-// Later returns the one of two revisions that comes last.
+// Later returns the later of two revisions.
 func Later(a, b Revision) Revision {
 	if a.Before(b) {
 		return b
