--- a/contact/contact_test.go
+++ b/contact/contact_test.go
@@ -72,8 +72,8 @@
 	sent, cost := b.beat(addressOf(0))
 	assert.Equal(t, sent, 1)
 	assert.Equal(t, cost, 100)
-	host, news := a.HandleHeartbeat(<-a.Heartbeats())
-	assert.Equal(t, news, member.Restarted)
+	host, outcome := a.HandleHeartbeat(<-a.Heartbeats())
+	assert.Equal(t, outcome, member.Restarted)
 	assert.Equal(t, host.Name, "b")
 	assert.Equal(t, host.ConfigVersion, uint64(7))
 	assert.Equal(t, a.Publish(&zinccovev1.RouterStatus{ConfigVersion: 5}), 1)
@@ -96,8 +96,8 @@
 	assert.Equal(t, a.Publish(new(zinccovev1.RouterStatus)), 0)
 	n.cut = false
 	b.beat(addressOf(0))
-	_, news = a.HandleHeartbeat(<-a.Heartbeats())
-	assert.Equal(t, news, member.Current)
+	_, outcome = a.HandleHeartbeat(<-a.Heartbeats())
+	assert.Equal(t, outcome, member.Current)
 	assert.Equal(t, a.Publish(new(zinccovev1.RouterStatus)), 1)
 }
 
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -9,9 +9,9 @@
 //
 // # Usage
 //
-//	b := exchange.New(exchange.Options{Repeats: 3, Rotate: 4, MaxEntries: 100})
-//	b.SetLocal(key, counters)             // before each heartbeat
-//	hb.Pools = b.Report()
+//	t := exchange.New(exchange.Options{Repeats: 3, Rotate: 4, MaxEntries: 100})
+//	t.SetLocal(key, counters)                  // before each heartbeat
+//	hb.Pools = t.Report()
 //	observed := t.ApplyReports(host, hb.Pools) // service to charge
 //
 // # Limits
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -45,7 +45,7 @@
 type Row[R any] struct {
 	Key      string
 	Revision revision.Revision
-	// Removed marks a row that was removed; only its key and revision are known.
+	// Removed is set if the row no longer exists; it then has no value.
 	Removed bool
 	// Age is the time since the row was read from the store.
 	Age time.Duration
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -86,7 +86,7 @@
 // not yet detected that the store was restored from a backup.
 var errEarlierEra = eris.New("snapshot is of an earlier era of the store")
 
-// Run follows until ctx ends. It returns nil; failures go to Options.Lost.
+// Run follows until ctx ends. It returns nil; failures go to Options.OnLost.
 func Run[B any](ctx context.Context, o Options[B]) error {
 	f := follower[B]{options: o}
 	for ctx.Err() == nil {
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -36,7 +36,7 @@
 	err   error
 }
 
-func (s *script) take(call string) (string, revision.Revision, error) {
+func (s *script) nextResult(call string) (string, revision.Revision, error) {
 	s.log = append(s.log, call)
 	if len(s.steps) == 0 {
 		s.cancel()
@@ -57,11 +57,11 @@
 	g.Go(func() error {
 		return Run(ctx, Options[string]{
 			Clock:    clock,
-			Snapshot: func(context.Context) (string, revision.Revision, error) { return s.take("snapshot") },
+			Snapshot: func(context.Context) (string, revision.Revision, error) { return s.nextResult("snapshot") },
 			Feed: func(_ context.Context, from revision.Revision, wait time.Duration) (string, revision.Revision, error) {
 				since = append(since, from)
 				s.held = append(s.held, wait)
-				return s.take("feed")
+				return s.nextResult("feed")
 			},
 			HistoryLost: func(err error) bool { return eris.Is(err, errForgotten) },
 			OnSnapshot:  func(b string) { s.log = append(s.log, "whole "+b) },
--- a/member/member.go
+++ b/member/member.go
@@ -39,7 +39,7 @@
 	// Self is the name of this host, which is never a member of its table.
 	Self  string
 	Clock clockwork.Clock
-	// Timeout is the time without heartbeats after which a host is unreachable.
+	// Timeout is the time since a host was last seen after which it is unreachable.
 	Timeout time.Duration
 }
 
@@ -268,7 +268,7 @@
 	t.sorted = nil
 }
 
-// SetTimeout changes the time without heartbeats after which a host is unreachable. The interval
+// SetTimeout changes the time since a host was last seen after which it is unreachable. The interval
 // between heartbeats is longer in large fleets.
 func (t *Table) SetTimeout(d time.Duration) { t.options.Timeout = d }
 
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -59,8 +59,8 @@
 		clock.Advance(timeout / 4)
 		table.Expire()
 	}
-	_, news := table.RecordHeartbeat(beat("a", 1, 1, 10))
-	assert.Equal(t, news, Restarted)
+	_, outcome := table.RecordHeartbeat(beat("a", 1, 1, 10))
+	assert.Equal(t, outcome, Restarted)
 }
 
 func TestSilentHostExpires(t *testing.T) {
@@ -104,7 +104,7 @@
 		clock.Advance(timeout / 4)
 		table.Expire()
 	}
-	gone := table.Forget(clock.Now())
-	assert.Equal(t, len(gone), 1)
+	removed := table.Forget(clock.Now())
+	assert.Equal(t, len(removed), 1)
 	assert.Equal(t, len(table.Hosts()), 1)
 }
--- a/presence/presence_test.go
+++ b/presence/presence_test.go
@@ -195,11 +195,11 @@
 		}
 		d.to.received++
 		d.from.sequence++
-		h, news := d.to.table.RecordHeartbeat(&zinccovev1.Heartbeat{
+		h, outcome := d.to.table.RecordHeartbeat(&zinccovev1.Heartbeat{
 			Incarnation: d.from.incarnation, Sequence: d.from.sequence,
 			Host: &zinccovev1.HostInfo{Name: d.from.name, DataCentre: d.from.dataCentre, Peer: d.from.peer.String(), Control: d.from.peer.String()},
 		})
-		if news == member.Ignored {
+		if outcome == member.Ignored {
 			continue
 		}
 		if reply := d.to.node.Receive(h, d.message); reply != nil {
