--- a/hangup/hangup.go
+++ b/hangup/hangup.go
@@ -1,8 +1,8 @@
-// Package hangup notices callers that went away while their request waits.
+// Package hangup detects callers that close their connection while their request waits.
 //
-// fasthttp does not tell. A Watcher looks at all watched connections once in a
-// period without taking bytes from them. A caller that closed its sending side
-// only counts as gone too: the usual HTTP clients never do that.
+// Fasthttp does not report this. A Watcher peeks at all watched connections once in each period
+// without reading bytes from them. A caller that closed only its sending side counts as closed
+// too: the usual HTTP clients never do that.
 //
 // # Usage
 //
@@ -33,11 +33,11 @@
 }
 
 type watch struct {
-	raw  syscall.RawConn
-	gone func()
+	raw    syscall.RawConn
+	closed func()
 }
 
-// New starts a watcher that looks once in each period.
+// New starts a watcher that checks the connections once in each period.
 func New(period time.Duration, clock clockwork.Clock) *Watcher {
 	w := &Watcher{stop: make(chan struct{}), watched: make(map[*watch]struct{})}
 	tick := clock.NewTicker(period)
@@ -48,7 +48,7 @@
 			case <-w.stop:
 				return nil
 			case <-tick.Chan():
-				w.look()
+				w.check()
 			}
 		}
 	})
@@ -61,10 +61,10 @@
 	w.group.Wait() //nolint:errcheck // the goroutine returns no error
 }
 
-// Watch calls gone once if the other side of conn goes away before stop is
-// called. Gone runs on the watcher's goroutine and must not block. Connections
-// without a socket are never reported.
-func (w *Watcher) Watch(conn net.Conn, gone func()) (stop func()) {
+// Watch calls closed once if the peer of conn closes or resets the connection before stop is
+// called. Closed runs on the watcher's goroutine and must not block. Connections without a
+// socket are never reported.
+func (w *Watcher) Watch(conn net.Conn, closed func()) (stop func()) {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return func() {}
@@ -73,7 +73,7 @@
 	if err != nil {
 		return func() {}
 	}
-	x := &watch{raw: raw, gone: gone}
+	x := &watch{raw: raw, closed: closed}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.watched[x] = struct{}{}
@@ -84,40 +84,40 @@
 	}
 }
 
-func (w *Watcher) look() {
-	for _, x := range w.takeClosed() {
-		x.gone()
+func (w *Watcher) check() {
+	for _, x := range w.removeClosed() {
+		x.closed()
 	}
 }
 
-// takeClosed removes and returns the watches whose other side is gone.
-func (w *Watcher) takeClosed() []*watch {
+// removeClosed removes and returns the watches whose peer closed the connection.
+func (w *Watcher) removeClosed() []*watch {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var gone []*watch
+	var closed []*watch
 	for x := range w.watched {
 		if Peek(x.raw) == Closed {
-			gone = append(gone, x)
+			closed = append(closed, x)
 			delete(w.watched, x)
 		}
 	}
-	return gone
+	return closed
 }
 
-// State is what Peek saw of a connection.
+// State is the state of a connection as Peek found it.
 type State int
 
 // The states.
 const (
-	// Idle: open, and nothing arrived.
+	// Idle: open, and no bytes arrived.
 	Idle State = iota
 	// Readable: bytes arrived that were not read yet.
 	Readable
-	// Closed: the other side closed or reset the connection.
+	// Closed: the peer closed or reset the connection.
 	Closed
 )
 
-// Peek looks at a socket without blocking and without taking bytes from it.
+// Peek returns the state of a socket without blocking and without reading bytes from it.
 func Peek(raw syscall.RawConn) State {
 	var (
 		b   [1]byte
--- a/link/link.go
+++ b/link/link.go
@@ -1,11 +1,11 @@
-// Package link keeps connections to targets.
+// Package link pools connections to targets.
 //
-// A connection carries one request at a time. It is given back only after a
-// whole answer with nothing behind it, and looked at before it is used again:
-// bytes that arrived meanwhile belong to no request, so such a connection is
-// closed. Targets close idle connections, sometimes without notice, and a
-// request sent at that moment may or may not have run; requests that must not
-// be repeated therefore ask for a connection that was used recently.
+// A connection carries one request at a time. It is returned to the pool only after a complete
+// response with no bytes after it, and checked before it is used again: bytes that arrived
+// meanwhile belong to no request, so such a connection is closed. Targets close idle
+// connections, sometimes without notice, and a request sent at that moment may or may not have
+// run. Requests that must not be repeated therefore ask for a connection that was used
+// recently.
 //
 // # Usage
 //
@@ -32,45 +32,43 @@
 	"zinccove.example/zinccove/hangup"
 )
 
-// IdleLimit is how long a connection may have rested before it is used again.
+// IdleLimit is how long a connection may have been idle before it is used again.
 type IdleLimit time.Duration
 
 const (
-	// ShortIdle is for requests that must not be repeated: shorter than any target
-	// forgets a connection.
+	// ShortIdle is for requests that must not be repeated. It is shorter than the idle timeout
+	// of any target.
 	ShortIdle = IdleLimit(400 * time.Millisecond)
 	// LongIdle is for requests that may be sent again.
 	LongIdle = IdleLimit(3 * time.Second)
 )
 
 const (
-	// MaxDialTimeout bounds connecting; inside a region it takes a few milliseconds,
-	// also when a target is busy.
+	// MaxDialTimeout bounds connecting; inside a region it takes a few milliseconds, even when
+	// a target is busy.
 	MaxDialTimeout = 150 * time.Millisecond
-	// deadPeer is how long sent bytes may stay unacknowledged, and how long a
-	// silent peer is probed, before the connection counts as broken.
-	deadPeer = 2 * time.Second
-	// probeAfter is the silence after which a peer is probed.
-	probeAfter = time.Second
-	// readBuffer holds the header of an answer or a few events of a stream.
-	readBuffer = 4096
-	// defaultIdle is how long a connection is kept if the target did not say.
+	// peerTimeout is how long sent bytes may stay unacknowledged, and how long a silent peer is
+	// probed, before the connection counts as broken.
+	peerTimeout = 2 * time.Second
+	// probeInterval is the silence after which a peer is probed, and the time between probes.
+	probeInterval = time.Second
+	// readBufferSize fits the header of a response or a few events of a stream.
+	readBufferSize = 4096
+	// defaultIdle is how long a connection is kept if the target sent no idle timeout.
 	defaultIdle = 4 * time.Second
-	// idleMargin is how much earlier than the target a router gives up an idle
-	// connection.
+	// idleMargin is how much earlier than the target a router drops an idle connection.
 	idleMargin = 500 * time.Millisecond
 )
 
 // Options configure a pool.
 type Options struct {
 	Clock clockwork.Clock
-	// Dial connects to an address within a time; the default is TCP with the limits of
-	// this package.
+	// Dial connects to an address within a timeout; the default is TCP with the limits of this
+	// package.
 	Dial func(netip.AddrPort, time.Duration) (net.Conn, error)
 }
 
-// Pool holds idle connections by the id of the target. It is safe for
-// concurrent use.
+// Pool holds idle connections by the ID of the target. It is safe for concurrent use.
 type Pool struct {
 	options Options
 
@@ -90,17 +88,16 @@
 	return DialTimeout(addr.String(), timeout)
 }
 
-// DialTimeout connects to an address within a timeout, at most MaxDialTimeout. The
-// connection breaks when the peer is silent for some seconds while it is probed
-// or sent to.
+// DialTimeout connects to an address within a timeout, at most MaxDialTimeout. The connection
+// breaks if the peer does not respond for some seconds to probes or sent bytes.
 func DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{
 		Timeout:         min(timeout, MaxDialTimeout),
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeAfter, Count: int(deadPeer / probeAfter)},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeInterval, Interval: probeInterval, Count: int(peerTimeout / probeInterval)},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
 			cerr := raw.Control(func(fd uintptr) {
-				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadPeer.Milliseconds()))
+				err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(peerTimeout.Milliseconds()))
 			})
 			if cerr != nil {
 				return cerr
@@ -116,24 +113,24 @@
 	net.Conn
 	// Reader reads from the connection.
 	Reader *bufio.Reader
-	// Reused tells that the connection carried another request before.
+	// Reused reports that the connection carried another request before.
 	Reused bool
 
-	target string
-	raw    syscall.RawConn
-	rested time.Time
-	until  time.Time
+	target    string
+	raw       syscall.RawConn
+	idleSince time.Time
+	expires   time.Time
 }
 
-// Get returns a connection to a target, a new one within a timeout. Only a failure
-// to connect is an error, so nothing was sent then.
-func (p *Pool) Get(target string, addr netip.AddrPort, fresh IdleLimit, timeout time.Duration) (*Conn, error) {
+// Get returns a connection to a target: an idle one, or a new one that is opened within a
+// timeout. It returns an error only if it cannot connect, so nothing was sent then.
+func (p *Pool) Get(target string, addr netip.AddrPort, limit IdleLimit, timeout time.Duration) (*Conn, error) {
 	for {
-		c := p.take(target, fresh)
+		c := p.take(target, limit)
 		if c == nil {
 			break
 		}
-		if c.quiet() {
+		if c.isIdle() {
 			c.Reused = true
 			return c, nil
 		}
@@ -147,7 +144,7 @@
 }
 
 func newConn(nc net.Conn, target string) *Conn {
-	c := &Conn{Conn: nc, Reader: bufio.NewReaderSize(nc, readBuffer), target: target}
+	c := &Conn{Conn: nc, Reader: bufio.NewReaderSize(nc, readBufferSize), target: target}
 	if sc, ok := nc.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
 			c.raw = raw
@@ -156,9 +153,9 @@
 	return c
 }
 
-// take removes and returns the connection that rested least, if it rested for
-// less than fresh.
-func (p *Pool) take(target string, fresh IdleLimit) *Conn {
+// take removes and returns the connection that was used last, if it has been idle for at most
+// limit.
+func (p *Pool) take(target string, limit IdleLimit) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[target]
@@ -167,23 +164,23 @@
 	}
 	c := list[len(list)-1]
 	now := p.options.Clock.Now()
-	if now.Sub(c.rested) > time.Duration(fresh) || now.After(c.until) {
+	if now.Sub(c.idleSince) > time.Duration(limit) || now.After(c.expires) {
 		return nil
 	}
 	p.idle[target] = list[:len(list)-1]
 	return c
 }
 
-// quiet reports whether nothing arrived on an idle connection.
-func (c *Conn) quiet() bool {
+// isIdle reports whether no bytes arrived on an idle connection and the peer has not closed it.
+func (c *Conn) isIdle() bool {
 	return c.Reader.Buffered() == 0 && (c.raw == nil || hangup.Peek(c.raw) == hangup.Idle)
 }
 
-// Put gives a connection back after a whole answer. Idle is how long the
-// target keeps it; 0 if it did not say.
+// Put returns a connection to the pool after a complete response. Idle is how long the target
+// keeps it; 0 if the target sent no idle timeout.
 func (p *Pool) Put(c *Conn, idle time.Duration) {
 	if c.Reader.Buffered() > 0 {
-		c.Close() //nolint:errcheck // bytes behind a whole answer belong to no request
+		c.Close() //nolint:errcheck // bytes after a complete response belong to no request
 		return
 	}
 	if idle <= 0 {
@@ -191,20 +188,20 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.rested = p.options.Clock.Now()
-	c.until = c.rested.Add(idle - idleMargin)
+	c.idleSince = p.options.Clock.Now()
+	c.expires = c.idleSince.Add(idle - idleMargin)
 	p.idle[c.target] = append(p.idle[c.target], c)
 }
 
-// Sweep closes connections that rested too long, and all of targets that are
-// not known any more.
+// Sweep closes connections that were idle for too long, and all connections to targets that are
+// no longer known.
 func (p *Pool) Sweep(known func(target string) bool) {
-	for _, c := range p.stale(known) {
+	for _, c := range p.removeStale(known) {
 		c.Close() //nolint:errcheck // nothing was sent on it
 	}
 }
 
-func (p *Pool) stale(known func(target string) bool) []*Conn {
+func (p *Pool) removeStale(known func(target string) bool) []*Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Clock.Now()
@@ -212,7 +209,7 @@
 	for target, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if known(target) && now.Before(c.until) && now.Sub(c.rested) < time.Duration(LongIdle) {
+			if known(target) && now.Before(c.expires) && now.Sub(c.idleSince) < time.Duration(LongIdle) {
 				kept = append(kept, c)
 			} else {
 				stale = append(stale, c)
