--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -6,45 +6,45 @@
 	zinccovev1 "zinccove.example/zinccove/gen/zinccove/v1"
 )
 
-// NextHeartbeat returns the datagram that goes to other routers with the next heartbeat, nil if there
-// is nothing to tell.
+// NextHeartbeat returns the datagram that is sent to other routers with the next heartbeat, nil
+// if there are no suspects to send.
 func (l *List) NextHeartbeat() *zinccovev1.Heartbeat {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	told := l.tell()
+	told := l.nextSuspects()
 	if len(told) == 0 {
 		return nil
 	}
 	return &zinccovev1.Heartbeat{Suspects: told}
 }
 
-func (l *List) tell() []*zinccovev1.Suspect {
+func (l *List) nextSuspects() []*zinccovev1.Suspect {
 	if len(l.order) == 0 {
 		return nil
 	}
 	now := l.clock.Now()
-	l.forget(now)
+	l.expire(now)
 	var told []*zinccovev1.Suspect
 	for _, s := range l.order {
-		if s.tell > 0 && len(told) < mostTold {
-			s.tell--
-			told = append(told, s.message(now))
+		if s.announcements > 0 && len(told) < maxPerDatagram {
+			s.announcements--
+			told = append(told, s.proto(now))
 		}
 	}
-	l.tells++
-	if l.tells%repeatEvery != 0 {
+	l.heartbeats++
+	if l.heartbeats%repeatEvery != 0 {
 		return told
 	}
-	for range min(repeatCount, len(l.order), mostTold-len(told)) {
+	for range min(repeatCount, len(l.order), maxPerDatagram-len(told)) {
 		l.turn++
 		if s := l.order[l.turn%len(l.order)]; !s.answered {
-			told = append(told, s.message(now))
+			told = append(told, s.proto(now))
 		}
 	}
 	return told
 }
 
-func (s *suspect) message(now time.Time) *zinccovev1.Suspect {
+func (s *suspect) proto(now time.Time) *zinccovev1.Suspect {
 	m := &zinccovev1.Suspect{Fingerprint: s.fingerprint[:], AgeMs: uint64(max(now.Sub(s.changed), 0).Milliseconds()), Answered: s.answered}
 	for _, loss := range s.losses {
 		m.Targets = append(m.Targets, uint32(loss.Target))
@@ -53,45 +53,45 @@
 	return m
 }
 
-// Merge takes what another router told, and returns the requests that are barred by it.
-// What is not a fingerprint is passed over.
-func (l *List) Merge(told []*zinccovev1.Suspect) []Fingerprint {
+// Merge adds the suspects of another router, and returns the requests that are barred by them.
+// Entries without a valid fingerprint are skipped.
+func (l *List) Merge(suspects []*zinccovev1.Suspect) []Fingerprint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	var barred []Fingerprint
-	for _, m := range told {
+	for _, m := range suspects {
 		if len(m.Fingerprint) != len(Fingerprint{}) {
 			continue
 		}
 		f := Fingerprint(m.Fingerprint)
-		if l.learn(f, m, now) {
+		if l.mergeSuspect(f, m, now) {
 			barred = append(barred, f)
 		}
 	}
 	return barred
 }
 
-// learn takes one suspect, or the word that one is none.
-func (l *List) learn(f Fingerprint, m *zinccovev1.Suspect, now time.Time) (barred bool) {
+// mergeSuspect adds one suspect, or clears it if the other router reports a response.
+func (l *List) mergeSuspect(f Fingerprint, m *zinccovev1.Suspect, now time.Time) (barred bool) {
 	if m.Answered {
 		s := l.suspects[f]
 		if s == nil {
 			s = l.add(f)
 		}
 		if s != nil && !s.answered {
-			l.acquit(s, now)
-			s.tell = 0 // who saw the answer tells all
+			l.clear(s, now)
+			s.announcements = 0 // the router that received the response announces it to all
 		}
 		return false
 	}
-	age := time.Duration(min(m.AgeMs, uint64(keepFor.Milliseconds()))) * time.Millisecond
-	if age >= keepFor {
+	age := time.Duration(min(m.AgeMs, uint64(suspectTTL.Milliseconds()))) * time.Millisecond
+	if age >= suspectTTL {
 		return false
 	}
-	losses := make([]Loss, 0, mostLosses)
-	for i, t := range m.Targets[:min(len(m.Targets), mostLosses)] {
+	losses := make([]Loss, 0, maxLosses)
+	for i, t := range m.Targets[:min(len(m.Targets), maxLosses)] {
 		losses = append(losses, Loss{Target: IncarnationHash(t), Partial: i < len(m.Partial) && m.Partial[i]})
 	}
-	return l.blame(f, losses, now.Add(-age))
+	return l.addLosses(f, losses, now.Add(-age))
 }
--- a/quarantine/persister.go
+++ b/quarantine/persister.go
@@ -15,13 +15,13 @@
 	"zinccove.example/zinccove/platform"
 )
 
-// Persister keeps barred requests in the platform's table, so that they stay barred when all
-// routers lose what they know at once. The router whose loss barred a request writes it;
-// every router reads them once, when it starts.
+// Persister stores barred requests in the platform's table, so that they stay barred when all
+// routers lose their lists at once. The router whose loss barred a request writes it; every
+// router reads the rows once, when it starts.
 //
-// A row is named by the first byte of a fingerprint: there are never more than 256, and
-// none needs to be removed. A newer request replaces one with the same byte, which the
-// routers that run still know.
+// A row is named by the first byte of a fingerprint: there are never more than 256 rows, and
+// none needs to be removed. A newer request replaces one with the same byte, which the running
+// routers still have in their lists.
 type Persister struct {
 	List    *List
 	Table   platform.Table
@@ -40,12 +40,12 @@
 
 const (
 	rowPrefix = "barred/"
-	mostRows  = 256
-	// keepPause is the time between two tries of a call.
-	keepPause = time.Second
+	maxRows   = 256
+	// retryInterval is the time between two attempts of a call.
+	retryInterval = time.Second
 )
 
-// Run reads what is barred, and writes what this router barred until ctx ends.
+// Run reads the barred requests, and then writes those that this router bars until ctx ends.
 func (k *Persister) Run(ctx context.Context) error {
 	if !k.try(ctx, k.load) {
 		return nil
@@ -62,7 +62,7 @@
 	}
 }
 
-// try makes a call until it succeeds. It reports false if ctx ended before.
+// try repeats a call until it succeeds. It reports false if ctx ended before that.
 func (k *Persister) try(ctx context.Context, call func(context.Context) error) bool {
 	for {
 		err := call(ctx)
@@ -73,18 +73,18 @@
 			return false
 		}
 		k.Metrics.Inc(metric.PlatformErrors)
-		k.Log.Warn().Err(err).Msg("barred requests not read or kept, trying again")
+		k.Log.Warn().Err(err).Msg("barred requests not read or written; trying again")
 		select {
 		case <-ctx.Done():
 			return false
-		case <-k.Clock.After(keepPause):
+		case <-k.Clock.After(retryInterval):
 		}
 	}
 }
 
-// load reads all rows. What cannot be decoded is passed over.
+// load reads all rows. Rows that cannot be decoded are skipped.
 func (k *Persister) load(ctx context.Context) error {
-	rows, err := k.Table.List(ctx, rowPrefix, mostRows, false)
+	rows, err := k.Table.List(ctx, rowPrefix, maxRows, false)
 	if err != nil {
 		return errs.Wrap(err, "read barred requests", "")
 	}
@@ -97,13 +97,13 @@
 		}
 	}
 	for _, f := range k.List.Merge(told) {
-		k.Log.Warn().Stringer("fingerprint", f).Msg("request barred, as the store says")
+		k.Log.Warn().Stringer("fingerprint", f).Msg("request barred by a row of the store")
 	}
 	return nil
 }
 
 func (r *record) suspect(now time.Time) *zinccovev1.Suspect {
-	f, _ := hex.DecodeString(r.Fingerprint) //nolint:errcheck // Learn passes over what is none
+	f, _ := hex.DecodeString(r.Fingerprint) //nolint:errcheck // Merge skips what is no fingerprint
 	m := &zinccovev1.Suspect{Fingerprint: f, AgeMs: uint64(max(now.UnixMilli()-r.LostUnixMs, 0))}
 	for _, loss := range r.Losses {
 		m.Targets = append(m.Targets, uint32(loss.Target))
--- a/quarantine/persister_test.go
+++ b/quarantine/persister_test.go
@@ -16,8 +16,8 @@
 	"zinccove.example/zinccove/platform/platformtest"
 )
 
-// run runs a keeper until the test ends or stop is called.
-func run(t *testing.T, l *List, table platform.Table, clock clockwork.Clock) (stop func()) {
+// startPersister runs a keeper until the test ends or stop is called.
+func startPersister(t *testing.T, l *List, table platform.Table, clock clockwork.Clock) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	k := newKeeper(t, l, table, clock)
 	var g errgroup.Group
@@ -60,27 +60,27 @@
 		}
 		return platformtest.None
 	}
-	before, c := New(clock), of("ends")
-	stop := run(t, before, m.Table(), clock)
+	before, c := New(clock), contentOf("ends")
+	stop := startPersister(t, before, m.Table(), clock)
 	for target := range IncarnationHash(2) {
-		before.RecordLoss(c, silent(target))
+		before.RecordLoss(c, lossWithoutResponse(target))
 	}
 	eventually(t, "the request is written", func() bool { return m.Writes() == 1 })
 	stop()
 	after := New(clock)
-	run(t, after, m.Table(), clock)
+	startPersister(t, after, m.Table(), clock)
 	eventually(t, "the request is barred", func() bool { return after.Barred(c) })
-	assert.Assert(t, !after.Barred(of("another")))
+	assert.Assert(t, !after.Barred(contentOf("another")))
 }
 
 // TestOddAndOldRowsBarNothing also holds for a row in the future, which other clocks write.
 func TestOddAndOldRowsBarNothing(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	m := platformtest.New()
-	ctx, c := context.Background(), of("old")
-	old, err := json.Marshal(record{Fingerprint: c.Fingerprint().String(), Losses: []Loss{{Target: 1}, {Target: 2}, {Target: 3}}, LostUnixMs: clock.Now().Add(-keepFor).UnixMilli()})
+	ctx, c := context.Background(), contentOf("old")
+	old, err := json.Marshal(record{Fingerprint: c.Fingerprint().String(), Losses: []Loss{{Target: 1}, {Target: 2}, {Target: 3}}, LostUnixMs: clock.Now().Add(-suspectTTL).UnixMilli()})
 	assert.NilError(t, err)
-	ahead, err := json.Marshal(record{Fingerprint: of("ahead").Fingerprint().String(), Losses: []Loss{{Target: 1}, {Target: 2}, {Target: 3}}, LostUnixMs: clock.Now().Add(time.Second).UnixMilli()})
+	ahead, err := json.Marshal(record{Fingerprint: contentOf("ahead").Fingerprint().String(), Losses: []Loss{{Target: 1}, {Target: 2}, {Target: 3}}, LostUnixMs: clock.Now().Add(time.Second).UnixMilli()})
 	assert.NilError(t, err)
 	for key, value := range map[string][]byte{"00": []byte(`{"fingerprint":"zz"}`), "01": []byte(`[]`), "02": old, "03": ahead} {
 		assert.NilError(t, m.Table().Commit(ctx, platform.Txn{Puts: []platform.Put{{Key: rowPrefix + key, Value: value}}}))
@@ -89,7 +89,7 @@
 	k := newKeeper(t, l, m.Table(), clock)
 	assert.NilError(t, k.load(ctx))
 	assert.Assert(t, !l.Barred(c))
-	assert.Assert(t, l.Barred(of("ahead")))
+	assert.Assert(t, l.Barred(contentOf("ahead")))
 	_, barred := l.Counts()
 	assert.Equal(t, barred, 1)
 }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,33 +1,34 @@
-// Package quarantine keeps requests from targets that end the targets which run them.
+// Package quarantine protects targets from requests that end the targets which run them.
 //
-// Some requests end each target that begins to run them: an engine that crashes on one
-// prompt crashes on it again. Their callers send them again, under other ids and to other
-// routers, so neither the retries of one request nor what one router remembers bounds
-// them: one such request ended 16 targets of a fleet within a minute, and cut what else ran
+// Some requests end each target that begins to run them: an engine that crashes on one prompt
+// crashes on it again. Their callers send them again, with other IDs and to other routers, so
+// neither the limit on retries of one request nor the memory of one router bounds them: one
+// such request ended 16 targets of a fleet within a minute, and cut the other requests that ran
 // there.
 //
-// A List knows requests by their Fingerprint. A request whose connection to a target
-// breaks while it may run there is a suspect: the loss of that run of a target counts
-// against it, twice if the target had not begun to answer. All routers tell each other
-// their suspects, and a request with enough losses is barred from all targets.
+// A List identifies requests by their Fingerprint. A request whose connection to a target
+// breaks while it may run there is a suspect: the loss of that incarnation of a target counts
+// against it, twice if the target had not begun to respond. All routers exchange their
+// suspects, and a request with enough losses is barred from all targets.
 //
 // Many other requests run at a target that ends, and connections break for other reasons.
-// Hardly any of these come again with the same content, so they never have enough losses.
-// Those that do are asked by many callers, and are answered by other targets: a request that
-// was answered whole is no suspect, and losses do not count for some seconds after an
-// answer.
+// Hardly any of these requests arrive again with the same content, so they never have enough
+// losses. Those that do are sent by many callers, and get responses from other targets: a
+// request with a complete response is no suspect, and losses do not count for some seconds
+// after a response.
 //
-// A List has no input and output; a Persister keeps what is barred in the platform's table.
+// A List does no input or output; a Persister stores the barred requests in the platform's
+// table.
 //
 // # Usage
 //
 //	l := quarantine.New(clock)
-//	if l.Barred(content) { ... }      // before each attempt
-//	barred := l.RecordLoss(content, loss) // the connection broke
-//	l.RecordResponse(content)             // the whole answer came
-//	heartbeat := l.NextHeartbeat()           // for other routers, with each heartbeat
-//	barred := l.Merge(told)         // what another router told
-//	<-l.Changed()                     // a request was barred, tell others at once
+//	if l.Barred(content) { ... }            // before each attempt
+//	barred := l.RecordLoss(content, loss)   // the connection broke
+//	l.RecordResponse(content)               // the complete response was received
+//	heartbeat := l.NextHeartbeat()          // for other routers, with each heartbeat
+//	barred := l.Merge(suspects)             // received from another router
+//	<-l.Changed()                           // a request was barred, notify others at once
 //
 //	p := quarantine.Persister{List: l, Table: client.Table(), Clock: clock, Log: log, Metrics: m}
 //	err := p.Run(ctx)
@@ -46,44 +47,44 @@
 )
 
 const (
-	// weightToBar is the weight of losses with which a request is barred, silentWeight that
-	// of a target that ended before it answered anything, partialWeight that of one that had
-	// begun to answer: of 30 streams that were cut by targets that ended, the 6 tries of the
-	// request that ended them were all without an event, the 24 others had some. So two
-	// targets may end under a request without a word, and four in any case.
-	weightToBar   = 4
-	silentWeight  = 2
-	partialWeight = 1
-	// keepFor is how long a suspect is known after its last loss: longer than callers and
-	// their operators go on sending one, short enough for a repaired target.
-	keepFor = 10 * time.Minute
-	// answeredFor is how long a request that was answered is above suspicion. Losses that
-	// are told late are of targets that ended before.
-	answeredFor = 10 * time.Second
-	// mostAnswered bounds the requests known as answered in half of that time, mostSuspects
-	// the suspects, mostLosses the losses that are kept of one.
-	mostAnswered = 4096
-	mostSuspects = 4096
-	mostLosses   = 8
-	// mostUnsaved bounds the barred requests that wait to be kept.
-	mostUnsaved = 64
-	// tellTimes is the number of heartbeats with which a change is told, so that lost
-	// datagrams do no harm. Routers that start or come back from a cut learn the rest by
-	// turns: repeatCount suspects with each repeatEvery-th heartbeat.
-	tellTimes   = 5
-	repeatEvery = 10
-	repeatCount = 8
-	// mostTold bounds the suspects of one datagram; each takes up to 64 bytes.
-	mostTold = 16
+	// barWeight is the weight of losses from which on a request is barred. noResponseWeight is
+	// the weight of a target that ended before it responded, partialWeight that of one that had
+	// begun to respond: of 30 streams that were cut by targets that ended, the 6 attempts of
+	// the request that ended them all had no event, the 24 others had some. So two targets may
+	// end under a request without a response, and four in any case.
+	barWeight        = 4
+	noResponseWeight = 2
+	partialWeight    = 1
+	// suspectTTL is how long a suspect is kept after its last loss: longer than callers and
+	// their operators continue to send one, short enough for a repaired target.
+	suspectTTL = 10 * time.Minute
+	// clearedTTL is how long a request that got a response cannot become a suspect. Losses that
+	// other routers report late are of targets that ended before the response.
+	clearedTTL = 10 * time.Second
+	// maxAnswered bounds the requests recorded as answered in half of that time, maxSuspects
+	// the suspects, maxLosses the losses that are kept of one suspect.
+	maxAnswered = 4096
+	maxSuspects = 4096
+	maxLosses   = 8
+	// maxUnsaved bounds the barred requests that wait to be written.
+	maxUnsaved = 64
+	// announceCount is the number of heartbeats that announce a change, so that lost datagrams
+	// do no harm. Routers that start or were cut off receive the other suspects in turn:
+	// repeatCount suspects with each repeatEvery-th heartbeat.
+	announceCount = 5
+	repeatEvery   = 10
+	repeatCount   = 8
+	// maxPerDatagram bounds the suspects of one datagram; each takes up to 64 bytes.
+	maxPerDatagram = 16
 )
 
-// IncarnationHash names a run of a target.
+// IncarnationHash identifies an incarnation of a target.
 type IncarnationHash uint32
 
-// Loss is a run of a target that ended under a request.
+// Loss is an incarnation of a target that ended under a request.
 type Loss struct {
 	Target IncarnationHash
-	// Partial tells that the target had begun to answer.
+	// Partial reports that the target had begun to respond.
 	Partial bool
 }
 
@@ -91,19 +92,19 @@
 	if l.Partial {
 		return partialWeight
 	}
-	return silentWeight
+	return noResponseWeight
 }
 
-// suspect is a request under which targets ended, or that was one until it was answered.
+// suspect is a request under which targets ended, or that was one until it got a response.
 type suspect struct {
 	fingerprint Fingerprint
-	// losses are the runs that ended under it, the last of them at changed.
+	// losses are the incarnations that ended under it, the last of them at changed.
 	losses  []Loss
 	changed time.Time
-	// answered tells that it was answered since, at changed.
+	// answered reports that it got a response since, at changed.
 	answered bool
-	// tell is the number of heartbeats that are still to tell it.
-	tell int
+	// announcements is the number of heartbeats that still have to announce it.
+	announcements int
 }
 
 func (s *suspect) barred() bool {
@@ -111,59 +112,62 @@
 	for i := range s.losses {
 		weight += s.losses[i].weight()
 	}
-	return weight >= weightToBar
+	return weight >= barWeight
 }
 
-// add adds a loss. Of two words on the same run the heavier counts.
+// add adds a loss. Of two reports on the same incarnation the one with the greater weight
+// counts.
 func (s *suspect) add(loss Loss) {
 	i := slices.IndexFunc(s.losses, func(l Loss) bool { return l.Target == loss.Target })
 	switch {
 	case i >= 0:
 		s.losses[i].Partial = s.losses[i].Partial && loss.Partial
-	case len(s.losses) < mostLosses:
+	case len(s.losses) < maxLosses:
 		s.losses = append(s.losses, loss)
 	}
 }
 
-// List is what a router knows of such requests. It is safe for concurrent use.
+// List holds the suspects and the barred requests of a router. It is safe for concurrent use.
 type List struct {
 	clock   clockwork.Clock
 	seed    maphash.Seed
 	changed chan struct{}
 	// unsaved are requests that this router barred, for the Persister.
 	unsaved chan suspect
-	// known is the number of suspects that are not answered.
+	// known is the number of suspects that got no response since.
 	known atomic.Int64
 
 	mu       sync.Mutex
 	suspects map[Fingerprint]*suspect
-	// order holds the suspects by age, turn counts those that were told by turns.
-	order []*suspect
-	turn  int
-	tells int
-	// answers are the requests answered here since rotated, earlier those before.
-	answers, earlier map[uint64]struct{}
-	rotated          time.Time
+	// order holds the suspects by age, turn counts those that were repeated in turn.
+	order      []*suspect
+	turn       int
+	heartbeats int
+	// answers are the requests with a response here since rotated, previousAnswers those of the
+	// interval before.
+	answers, previousAnswers map[uint64]struct{}
+	rotated                  time.Time
 }
 
 // New returns an empty list.
 func New(clock clockwork.Clock) *List {
 	return &List{
-		clock: clock, seed: maphash.MakeSeed(), changed: make(chan struct{}, 1), unsaved: make(chan suspect, mostUnsaved), suspects: make(map[Fingerprint]*suspect),
+		clock: clock, seed: maphash.MakeSeed(), changed: make(chan struct{}, 1), unsaved: make(chan suspect, maxUnsaved), suspects: make(map[Fingerprint]*suspect),
 		answers: make(map[uint64]struct{}), rotated: clock.Now(),
 	}
 }
 
-// any reports whether there are suspects; while there are none, no fingerprint is needed.
-func (l *List) any() bool { return l.known.Load() > 0 }
+// hasSuspects reports whether there are suspects; while there are none, no fingerprint is
+// needed.
+func (l *List) hasSuspects() bool { return l.known.Load() > 0 }
 
-// Changed receives when a request was barred for a loss of this router's.
+// Changed receives a value when a request was barred because of a loss of this router.
 func (l *List) Changed() <-chan struct{} { return l.changed }
 
-// Barred reports whether a request must not reach any target. One that others have barred
-// and that was answered here lately is cleared.
+// Barred reports whether a request must not reach any target. A request that others have barred
+// and that got a response here recently is cleared.
 func (l *List) Barred(c *Content) bool {
-	if !l.any() {
+	if !l.hasSuspects() {
 		return false
 	}
 	f := c.Fingerprint()
@@ -171,40 +175,40 @@
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	s := l.suspects[f]
-	if s == nil || !s.barred() || now.Sub(s.changed) >= keepFor {
+	if s == nil || !s.barred() || now.Sub(s.changed) >= suspectTTL {
 		return false
 	}
-	if l.cleared(c.local(l.seed), now) {
-		l.acquit(s, now)
+	if l.recentlyAnswered(c.localHash(l.seed), now) {
+		l.clear(s, now)
 		return false
 	}
 	return true
 }
 
-// RecordLoss notes that the connection to a target broke while the request may have run there.
-// It reports whether the request is barred from now on.
+// RecordLoss records that the connection to a target broke while the request may have run
+// there. It reports whether the request is barred by this loss.
 func (l *List) RecordLoss(c *Content, loss Loss) (barred bool) {
-	f, local := c.Fingerprint(), c.local(l.seed)
+	f, local := c.Fingerprint(), c.localHash(l.seed)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
-	if l.cleared(local, now) {
+	if l.recentlyAnswered(local, now) {
 		return false
 	}
-	barred = l.blame(f, []Loss{loss}, now)
+	barred = l.addLosses(f, []Loss{loss}, now)
 	s := l.suspects[f]
 	if s != nil && !s.answered {
-		s.tell = tellTimes
+		s.announcements = announceCount
 	}
 	if barred {
-		l.announce(s)
+		l.notifyBarred(s)
 	}
 	return barred
 }
 
-// announce has a request that was barred here told to other routers at once, and kept. One
-// that finds too many waiting is kept by routers only.
-func (l *List) announce(s *suspect) {
+// notifyBarred has a request that was barred here sent to other routers at once, and written.
+// If too many requests wait to be written, only routers keep it.
+func (l *List) notifyBarred(s *suspect) {
 	select {
 	case l.changed <- struct{}{}:
 	default:
@@ -217,20 +221,20 @@
 	}
 }
 
-// PersistAgain has what was barred lately kept again, after the table may have lost it.
+// PersistAgain has recently barred requests written again, after the table may have lost them.
 func (l *List) PersistAgain() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, s := range l.order {
 		if s.barred() && l.clock.Since(s.changed) < revision.CopyAge {
-			l.announce(s)
+			l.notifyBarred(s)
 		}
 	}
 }
 
-// blame adds losses and reports whether the request is barred by them. Some are told after
-// the word that the request was answered, and do not count.
-func (l *List) blame(f Fingerprint, losses []Loss, at time.Time) (barred bool) {
+// addLosses adds losses and reports whether the request is barred by them. Losses that are
+// reported after a response to the request do not count for clearedTTL.
+func (l *List) addLosses(f Fingerprint, losses []Loss, at time.Time) (barred bool) {
 	s := l.suspects[f]
 	if s == nil {
 		if s = l.add(f); s == nil {
@@ -239,7 +243,7 @@
 	}
 	before := s.barred()
 	if s.answered {
-		if l.clock.Since(s.changed) < answeredFor {
+		if l.clock.Since(s.changed) < clearedTTL {
 			return false
 		}
 		s.answered = false
@@ -254,10 +258,11 @@
 	return s.barred() && !before
 }
 
-// add begins a suspect, in place of the oldest that is not barred if there are too many:
-// callers with many such requests cannot push out what is barred. It returns nil if all are.
+// add adds a suspect. If there are too many, it replaces the oldest one that is not barred:
+// callers with many such requests cannot displace barred requests. It returns nil if all are
+// barred.
 func (l *List) add(f Fingerprint) *suspect {
-	if len(l.order) >= mostSuspects {
+	if len(l.order) >= maxSuspects {
 		i := slices.IndexFunc(l.order, func(s *suspect) bool { return !s.barred() })
 		if i < 0 {
 			return nil
@@ -280,69 +285,69 @@
 	l.order = slices.Delete(l.order, i, i+1)
 }
 
-// RecordResponse notes that a target answered the request whole. Other routers are told if it
-// was suspected.
+// RecordResponse records that a target sent a complete response to the request. Other routers
+// are notified if it was a suspect.
 func (l *List) RecordResponse(c *Content) {
-	local := c.local(l.seed)
-	if l.any() {
+	local := c.localHash(l.seed)
+	if l.hasSuspects() {
 		c.Fingerprint()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.clock.Now()
 	l.rotate(now)
-	if len(l.answers) < mostAnswered {
+	if len(l.answers) < maxAnswered {
 		l.answers[local] = struct{}{}
 	}
 	if c.fingerprint == nil {
 		return
 	}
 	if s := l.suspects[*c.fingerprint]; s != nil && !s.answered {
-		l.acquit(s, now)
+		l.clear(s, now)
 	}
 }
 
-// acquit makes a suspect one that others are told to be none.
-func (l *List) acquit(s *suspect, now time.Time) {
+// clear makes a suspect one that is announced to others as cleared.
+func (l *List) clear(s *suspect, now time.Time) {
 	if !s.answered {
 		l.known.Add(-1)
 	}
-	s.answered, s.losses, s.changed, s.tell = true, nil, now, tellTimes
+	s.answered, s.losses, s.changed, s.announcements = true, nil, now, announceCount
 }
 
-// cleared reports whether a request was answered here lately.
-func (l *List) cleared(local uint64, now time.Time) bool {
+// recentlyAnswered reports whether a request got a response here recently.
+func (l *List) recentlyAnswered(local uint64, now time.Time) bool {
 	l.rotate(now)
 	_, lately := l.answers[local]
-	_, before := l.earlier[local]
+	_, before := l.previousAnswers[local]
 	return lately || before
 }
 
-// rotate forgets answers that are older than answeredFor.
+// rotate drops responses that are older than clearedTTL.
 func (l *List) rotate(now time.Time) {
 	since := now.Sub(l.rotated)
-	if since < answeredFor/2 {
+	if since < clearedTTL/2 {
 		return
 	}
-	l.earlier, l.answers, l.rotated = l.answers, make(map[uint64]struct{}), now
-	if since >= answeredFor {
-		l.earlier = nil
+	l.previousAnswers, l.answers, l.rotated = l.answers, make(map[uint64]struct{}), now
+	if since >= clearedTTL {
+		l.previousAnswers = nil
 	}
 }
 
-// forget drops suspects whose time is over. Those that were answered need to be known only
-// as long as losses before that may be told.
-func (l *List) forget(now time.Time) {
+// expire drops suspects whose time is over. Suspects that got a response are kept only as long
+// as losses before it may be reported.
+func (l *List) expire(now time.Time) {
 	for i := len(l.order) - 1; i >= 0; i-- {
 		s := l.order[i]
 		age := now.Sub(s.changed)
-		if age >= keepFor || s.answered && age >= answeredFor {
+		if age >= suspectTTL || s.answered && age >= clearedTTL {
 			l.remove(i)
 		}
 	}
 }
 
-// Counts returns the number of requests that are suspected, and of those that are barred.
+// Counts returns the number of suspects, and of requests that are barred.
 func (l *List) Counts() (suspected, barred int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -12,13 +12,13 @@
 	zinccovev1 "zinccove.example/zinccove/gen/zinccove/v1"
 )
 
-// silent is the loss of a target that had not begun to answer.
-func silent(t IncarnationHash) Loss { return Loss{Target: t} }
+// lossWithoutResponse is the loss of a target that had not begun to answer.
+func lossWithoutResponse(t IncarnationHash) Loss { return Loss{Target: t} }
 
-func of(body string) *Content { return &Content{Customer: "c", Body: []byte(body)} }
+func contentOf(body string) *Content { return &Content{Customer: "c", Body: []byte(body)} }
 
-// exchange has each list tell all others, as one heartbeat of each does.
-func exchange(lists ...*List) {
+// exchangeHeartbeats has each list tell all others, as one heartbeat of each does.
+func exchangeHeartbeats(lists ...*List) {
 	for _, from := range lists {
 		told := from.NextHeartbeat()
 		for _, to := range lists {
@@ -40,20 +40,20 @@
 
 func TestLossesOfAllRoutersBarARequest(t *testing.T) {
 	lists, _ := newLists(3)
-	f := of("ends")
-	assert.Assert(t, !lists[0].any())
-	assert.Assert(t, !lists[0].RecordLoss(f, silent(1)))
-	exchange(lists...)
+	f := contentOf("ends")
+	assert.Assert(t, !lists[0].hasSuspects())
+	assert.Assert(t, !lists[0].RecordLoss(f, lossWithoutResponse(1)))
+	exchangeHeartbeats(lists...)
 	for _, l := range lists {
-		assert.Assert(t, l.any() && !l.Barred(f))
+		assert.Assert(t, l.hasSuspects() && !l.Barred(f))
 	}
-	assert.Assert(t, !lists[1].RecordLoss(f, silent(1)), "the same run of a target counts once")
-	assert.Assert(t, lists[1].RecordLoss(f, silent(2)))
+	assert.Assert(t, !lists[1].RecordLoss(f, lossWithoutResponse(1)), "the same run of a target counts once")
+	assert.Assert(t, lists[1].RecordLoss(f, lossWithoutResponse(2)))
 	<-lists[1].Changed()
-	exchange(lists...)
+	exchangeHeartbeats(lists...)
 	for _, l := range lists {
 		assert.Assert(t, l.Barred(f))
-		assert.Assert(t, !l.Barred(of("another")))
+		assert.Assert(t, !l.Barred(contentOf("another")))
 	}
 }
 
@@ -62,25 +62,25 @@
 	lists, clock := newLists(3)
 	for n := range 2 * repeatCount {
 		for loss := range 2 {
-			lists[0].RecordLoss(of(fmt.Sprint(n)), silent(IncarnationHash(loss)))
+			lists[0].RecordLoss(contentOf(fmt.Sprint(n)), lossWithoutResponse(IncarnationHash(loss)))
 		}
 	}
-	for range tellTimes {
-		exchange(lists...)
+	for range announceCount {
+		exchangeHeartbeats(lists...)
 	}
 	clock.Advance(time.Minute)
 	starts := New(clock)
 	for range 4 * repeatEvery {
-		exchange(lists[1], lists[2], starts)
+		exchangeHeartbeats(lists[1], lists[2], starts)
 	}
 	for n := range 2 * repeatCount {
-		assert.Assert(t, starts.Barred(of(fmt.Sprint(n))), "request %d", n)
+		assert.Assert(t, starts.Barred(contentOf(fmt.Sprint(n))), "request %d", n)
 	}
 }
 
 func TestNothingIsToldWhileNothingIsSuspected(t *testing.T) {
 	lists, _ := newLists(1)
-	lists[0].RecordResponse(of("fine"))
+	lists[0].RecordResponse(contentOf("fine"))
 	for range 2 * repeatEvery {
 		assert.Assert(t, lists[0].NextHeartbeat() == nil)
 	}
@@ -92,7 +92,7 @@
 // it lately learns from the others that it was answered, once they are asked.
 func TestRequestOfManyCallersIsNotBarredByTargetsThatEnd(t *testing.T) {
 	lists, clock := newLists(4)
-	f := of("popular")
+	f := contentOf("popular")
 	for range 3 {
 		for _, l := range lists[:3] {
 			l.RecordResponse(f)
@@ -100,73 +100,73 @@
 		clock.Advance(3 * time.Second)
 		for target := range IncarnationHash(3) {
 			for _, l := range lists {
-				l.RecordLoss(f, silent(target))
+				l.RecordLoss(f, lossWithoutResponse(target))
 			}
 		}
-		exchange(lists...)
+		exchangeHeartbeats(lists...)
 		for i, l := range lists[:3] {
 			assert.Assert(t, !l.Barred(f), "router %d", i)
 		}
-		exchange(lists...)
+		exchangeHeartbeats(lists...)
 		assert.Assert(t, !lists[3].Barred(f))
 	}
 }
 
 func TestAnswerEndsASuspicionEverywhere(t *testing.T) {
 	lists, clock := newLists(3)
-	f := of("unlucky")
-	lists[0].RecordLoss(f, silent(1))
-	exchange(lists...)
+	f := contentOf("unlucky")
+	lists[0].RecordLoss(f, lossWithoutResponse(1))
+	exchangeHeartbeats(lists...)
 	lists[2].RecordResponse(f)
-	exchange(lists...)
+	exchangeHeartbeats(lists...)
 	for _, l := range lists {
-		assert.Assert(t, !l.any())
+		assert.Assert(t, !l.hasSuspects())
 	}
-	clock.Advance(2 * answeredFor)
-	assert.Assert(t, !lists[1].RecordLoss(f, silent(2)), "losses before the answer are forgotten")
+	clock.Advance(2 * clearedTTL)
+	assert.Assert(t, !lists[1].RecordLoss(f, lossWithoutResponse(2)), "losses before the answer are forgotten")
 }
 
 func TestWhatIsToldLateDoesNotAgeAnew(t *testing.T) {
 	lists, clock := newLists(2)
-	f := of("ends")
+	f := contentOf("ends")
 	for target := range IncarnationHash(2) {
-		lists[0].RecordLoss(f, silent(target))
+		lists[0].RecordLoss(f, lossWithoutResponse(target))
 	}
-	clock.Advance(keepFor - time.Second)
+	clock.Advance(suspectTTL - time.Second)
 	lists[1].Merge(lists[0].NextHeartbeat().GetSuspects())
 	assert.Assert(t, lists[1].Barred(f))
 	clock.Advance(time.Second)
 	for _, l := range lists {
 		assert.Assert(t, !l.Barred(f))
 		l.NextHeartbeat()
-		assert.Assert(t, !l.any())
+		assert.Assert(t, !l.hasSuspects())
 	}
 }
 
 // TestCallerWithManySuspectsPushesOutNothingBarred fills a list.
 func TestCallerWithManySuspectsPushesOutNothingBarred(t *testing.T) {
 	lists, _ := newLists(1)
-	l, f := lists[0], of("ends")
+	l, f := lists[0], contentOf("ends")
 	for target := range IncarnationHash(2) {
-		l.RecordLoss(f, silent(target))
+		l.RecordLoss(f, lossWithoutResponse(target))
 	}
-	for n := range 2 * mostSuspects {
-		l.RecordLoss(of(fmt.Sprint(n)), silent(1))
+	for n := range 2 * maxSuspects {
+		l.RecordLoss(contentOf(fmt.Sprint(n)), lossWithoutResponse(1))
 	}
 	assert.Assert(t, l.Barred(f))
 	suspected, barred := l.Counts()
-	assert.Equal(t, suspected, mostSuspects)
+	assert.Equal(t, suspected, maxSuspects)
 	assert.Equal(t, barred, 1)
-	for n := range mostAnswered * 2 {
-		l.RecordResponse(of(fmt.Sprint("answer", n)))
+	for n := range maxAnswered * 2 {
+		l.RecordResponse(contentOf(fmt.Sprint("answer", n)))
 	}
-	assert.Assert(t, len(l.answers) <= mostAnswered)
+	assert.Assert(t, len(l.answers) <= maxAnswered)
 }
 
 func TestOddWordsOfOthersAreTaken(t *testing.T) {
 	lists, _ := newLists(1)
 	l := lists[0]
-	c := of("x")
+	c := contentOf("x")
 	f := c.Fingerprint()
 	many := make([]uint32, 100)
 	for i := range many {
@@ -176,18 +176,18 @@
 		{}, {Fingerprint: []byte("short")}, {Fingerprint: make([]byte, 100), Targets: many},
 		{Fingerprint: f[:], Targets: many[:1], AgeMs: 1 << 63},
 	})
-	assert.Assert(t, !l.any())
+	assert.Assert(t, !l.hasSuspects())
 	l.Merge([]*zinccovev1.Suspect{{Fingerprint: f[:], Targets: many}})
 	assert.Assert(t, l.Barred(c))
-	assert.Equal(t, len(l.suspects[f].losses), mostLosses)
+	assert.Equal(t, len(l.suspects[f].losses), maxLosses)
 }
 
-// fleetOf plays a request that ends each target against routers that tell each other with
+// simulateFleet plays a request that ends each target against routers that tell each other with
 // each heartbeat, some of whose datagrams are lost. Callers send it at any router ten
 // times between two heartbeats. It returns how often it reached a target in all, and later
 // than two heartbeats after the third loss.
-func fleetOf(routers int, lists []*List, random *rand.Rand) (all, late int) {
-	f := of("ends")
+func simulateFleet(routers int, lists []*List, random *rand.Rand) (all, late int) {
+	f := contentOf("ends")
 	third := -1
 	for beat := range 60 {
 		for range 10 {
@@ -199,7 +199,7 @@
 			if third >= 0 && beat > third+2 {
 				late++
 			}
-			l.RecordLoss(f, silent(IncarnationHash(all)))
+			l.RecordLoss(f, lossWithoutResponse(IncarnationHash(all)))
 		}
 		if all >= 3 && third < 0 {
 			third = beat
@@ -223,7 +223,7 @@
 	for _, routers := range []int{3, 9, 64, 295} {
 		random := rand.New(rand.NewPCG(1, uint64(routers)))
 		lists, _ := newLists(routers)
-		all, late := fleetOf(routers, lists, random)
+		all, late := simulateFleet(routers, lists, random)
 		assert.Assert(t, late <= 3, "%d routers: %d in all, %d late", routers, all, late)
 	}
 }
@@ -233,9 +233,9 @@
 func BenchmarkBarred(b *testing.B) {
 	l := New(clockwork.NewRealClock())
 	for n := range 100 {
-		l.RecordLoss(of(fmt.Sprint(n)), silent(1))
+		l.RecordLoss(contentOf(fmt.Sprint(n)), lossWithoutResponse(1))
 	}
-	f := of("5")
+	f := contentOf("5")
 	for b.Loop() {
 		l.Barred(f)
 	}
@@ -254,15 +254,15 @@
 // which a fourth one goes on with, and a request that ends each target without a word.
 func TestTargetsThatHadBegunToAnswerSpeakLess(t *testing.T) {
 	lists, _ := newLists(2)
-	stream := of("stream")
+	stream := contentOf("stream")
 	for target := range IncarnationHash(3) {
 		assert.Assert(t, !lists[0].RecordLoss(stream, Loss{Target: target, Partial: true}))
 	}
-	exchange(lists...)
+	exchangeHeartbeats(lists...)
 	assert.Assert(t, !lists[1].Barred(stream))
 	assert.Assert(t, lists[1].RecordLoss(stream, Loss{Target: 3, Partial: true}), "the fourth one")
-	mixed := of("mixed")
+	mixed := contentOf("mixed")
 	assert.Assert(t, !lists[0].RecordLoss(mixed, Loss{Target: 1, Partial: true}))
-	assert.Assert(t, !lists[0].RecordLoss(mixed, silent(1)), "the heavier word on one run counts")
-	assert.Assert(t, lists[0].RecordLoss(mixed, silent(2)))
+	assert.Assert(t, !lists[0].RecordLoss(mixed, lossWithoutResponse(1)), "the heavier word on one run counts")
+	assert.Assert(t, lists[0].RecordLoss(mixed, lossWithoutResponse(2)))
 }
