--- a/relay/admit.go
+++ b/relay/admit.go
@@ -13,16 +13,16 @@
 	"zinccove.example/zinccove/route"
 )
 
-// refusal is a final answer that does not come from a target.
+// refusal is a final response that does not come from a target.
 type refusal struct {
 	status int
 	reason string
-	// retryAfter is when the caller may come back; 0 leaves it open.
+	// retryAfter is when the caller may retry; 0 means that no time is sent.
 	retryAfter time.Duration
 }
 
-// counter is what counts the refusal: a gateway's own failures leave open
-// whether the request ran.
+// counter returns the metric that counts the refusal. Statuses 502 and 504 leave open whether
+// the request ran.
 func (r *refusal) counter() metric.Counter {
 	switch r.status {
 	case fasthttp.StatusBadGateway, fasthttp.StatusGatewayTimeout:
@@ -31,7 +31,7 @@
 	return metric.RequestsNotRun
 }
 
-// write answers with the refusal.
+// write writes the refusal as the response.
 func (r *refusal) write(ctx *fasthttp.RequestCtx) {
 	ctx.Response.ResetBody()
 	ctx.SetStatusCode(r.status)
@@ -39,8 +39,8 @@
 	ctx.SetBodyString(r.reason + "\n")
 	if r.retryAfter > 0 {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatFloat(roundUp(r.retryAfter), 'f', -1, 64))
-		// Callers come back on a new connection; those that are refused at once and
-		// often would otherwise leave thousands of idle ones behind.
+		// Callers retry on a new connection. Callers that are refused at once and often would
+		// otherwise leave thousands of idle connections open.
 		ctx.SetConnectionClose()
 	}
 }
@@ -48,7 +48,7 @@
 // roundUp returns a duration in seconds, rounded up to a hundredth.
 func roundUp(d time.Duration) float64 { return math.Ceil(d.Seconds()*100) / 100 }
 
-// Reasons of refusals before a target was chosen.
+// Reasons of refusals before a target is chosen.
 const (
 	reasonNoTable    = "no_configuration"
 	reasonBadRequest = "bad_request"
@@ -59,34 +59,33 @@
 	reasonRouterBusy = "router_busy"
 )
 
-// Reasons after an attempt; others are failureNames and the placer's reasons.
+// Reasons of refusals after an attempt. Further ones are failureNames and the placer's reasons.
 const (
 	reasonCallerGone = "caller_gone"
 	reasonTimeLimit  = "time_limit"
-	// reasonEndsTargets also stands before an attempt.
+	// reasonEndsTargets is also used before an attempt.
 	reasonEndsTargets = "ends_targets"
 )
 
-// unknownRetry is when a caller may come back that this router cannot judge
-// because its table is missing or old: another router may know more.
+// unknownRetry is the Retry-After of a refusal by a router whose table is missing or old, so
+// that it cannot decide about the request; another router may have a newer table.
 const unknownRetry = 200 * time.Millisecond
 
-// stoppingRetry is when a caller may come back that reached a router about to
-// stop; the balancer sends it to another one at once.
+// stoppingRetry is the Retry-After of a refusal by a router that is about to stop; the balancer
+// routes the retry to another router at once.
 const stoppingRetry = 20 * time.Millisecond
 
-// routerBusyRetry is when a caller may come back whose stream was refused because
-// this router is behind. Its next try reaches this router too, as long as the balancer
-// takes it for ready; by then the rate allows some more.
+// routerBusyRetry is the Retry-After of a stream that is refused because this router is
+// overloaded. The retry reaches this router again as long as the balancer considers it ready;
+// by then the rate limit admits some more streams.
 const routerBusyRetry = 50 * time.Millisecond
 
-// firstEventMargin is the time that a planned stop allows for the first event
-// of a stream.
+// firstEventMargin is the time that a graceful shutdown allows for the first event of a stream.
 const firstEventMargin = time.Second
 
-// endsInTime reports whether a request that begins now is expected to end
-// before a planned stop has to cut it. Callers still come while the balancer
-// has not noticed, and when most routers of a data centre stop at once.
+// endsInTime reports whether a request that begins now is expected to end before a graceful
+// shutdown has to cut it. Callers still arrive while the balancer has not noticed the shutdown,
+// and when most routers of a data centre stop at once.
 func (s *Server) endsInTime(f *flight) bool {
 	stopped := s.stopped.Load()
 	if stopped == nil || f.received.Sub(*stopped) < s.options.Limits.StopDelay {
@@ -100,7 +99,7 @@
 	return known && bound+firstEventMargin < left || f.limit() < left
 }
 
-// limit is the longest time that the request may take.
+// limit returns the longest time that the request may take.
 func (f *flight) limit() time.Duration {
 	if f.call.Deadline > 0 {
 		return min(f.call.Deadline, f.route.Timeout)
@@ -108,7 +107,7 @@
 	return f.route.Timeout
 }
 
-// admit finds out what a request is. The refusal is nil if it may be served.
+// admit decodes a request and decides whether it may be served. The refusal is nil if it may.
 func (s *Server) admit(ctx *fasthttp.RequestCtx) (*flight, *refusal) {
 	f := &flight{server: s, received: s.options.Clock.Now(), conn: ctx.Conn(), header: &ctx.Request.Header}
 	call, err := s.options.Codec.DecodeRequest(&ctx.Request.Header)
@@ -135,17 +134,17 @@
 			return f, r
 		}
 	}
-	f.plan(view.Table)
-	if f.engine && !s.throttle.takes(f.customer, f.received) {
+	f.setLimits(view.Table)
+	if f.engine && !s.throttle.allow(f.customer, f.received) {
 		s.options.Metrics.Inc(metric.RequestsShed)
 		return f, &refusal{status: fasthttp.StatusServiceUnavailable, reason: reasonRouterBusy, retryAfter: routerBusyRetry}
 	}
-	f.starting = f.engine
+	f.dispatching = f.engine
 	return f, nil
 }
 
-// unknown refuses a route or key that the table lacks. An old table does not prove
-// that something does not exist.
+// unknown returns the refusal of a request whose route or key the table lacks. An old table
+// does not prove that a route or key does not exist.
 func unknown(view View, status int, reason string) *refusal {
 	if !view.Fresh {
 		return &refusal{status: fasthttp.StatusServiceUnavailable, reason: reasonStaleTable, retryAfter: unknownRetry}
@@ -153,8 +152,8 @@
 	return &refusal{status: status, reason: reason}
 }
 
-// identify finds the customer. A public route needs none and names none to the
-// target, also if the key is known.
+// identify finds the customer of the request. A public route needs no customer, and the target
+// gets no customer name for it, even if the key is known.
 func (f *flight) identify(view View) *refusal {
 	customer := view.Table.Customer(f.call.Key)
 	if customer == nil {
@@ -170,17 +169,17 @@
 	return nil
 }
 
-// freeUnsent is the number of targets that a request may fail to reach beyond
-// the attempts of its route: no work was given to them.
+// freeUnsent is the number of targets that a request may fail to reach in addition to the
+// attempts of its route: these targets were given no work.
 const freeUnsent = 2
 
-// plan sets the limits of the request.
-func (f *flight) plan(table *route.Table) {
+// setLimits chooses the service and sets the deadline and the attempts of the request.
+func (f *flight) setLimits(table *route.Table) {
 	f.deadline = f.received.Add(f.limit())
 	f.service = f.route.Pick(rand.IntN)
 	f.engine = table.Service(f.service).Engine != nil
 	f.chooseVersions(rand.Float64())
-	f.life = request.New(request.Options{
+	f.lifecycle = request.New(request.Options{
 		ID: f.call.ID, Repeatable: f.route.Repeats(), Deadline: f.deadline, MaxAttempts: f.route.MaxAttempts,
 		FreeUnsent: freeUnsent,
 	})
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -18,19 +18,19 @@
 	"zinccove.example/zinccove/target"
 )
 
-// answer is a target's answer. Exactly one of body and stream is set.
-type answer struct {
+// response is a target's response. Exactly one of body and stream is set.
+type response struct {
 	header fasthttp.ResponseHeader
-	facts  message.ResponseInfo
+	info   message.ResponseInfo
 	body   []byte
 	stream *stream
 }
 
-// attempt sends the request to one target. LastEvent is the last event of a
-// stream that goes on. The refusal is set if there is no target.
-func (f *flight) attempt(ctx *fasthttp.RequestCtx, lastEvent string) (*answer, *target.Failure, *refusal) {
+// attempt sends the request to one target. LastEvent is the last event of a stream that is
+// resumed. The refusal is set if there is no target.
+func (f *flight) attempt(ctx *fasthttp.RequestCtx, lastEvent string) (*response, *target.Failure, *refusal) {
 	s := f.server
-	if s.options.Quarantine.Barred(f.asks()) {
+	if s.options.Quarantine.Barred(f.requestContent()) {
 		s.options.Metrics.Inc(metric.RequestsBarred)
 		return nil, nil, &refusal{status: fasthttp.StatusServiceUnavailable, reason: reasonEndsTargets}
 	}
@@ -46,47 +46,48 @@
 	if len(f.tried) > 0 {
 		s.options.Metrics.Inc(metric.Retries)
 	}
-	f.run, f.said = d.Run, notice.Notice{}
+	f.run, f.notice = d.Run, notice.Notice{}
 	f.tried = append(f.tried, d.Run.Incarnation())
-	f.beginVersion()
-	f.life.Queue()
-	f.life.Dispatch()
+	f.startVersion()
+	f.lifecycle.Queue()
+	f.lifecycle.Dispatch()
 	s.logPlaced(f)
 	ans, fail := f.exchange(ctx, lastEvent)
 	if fail != nil {
 		d.Run.End(f.result(fail.Kind))
-		f.blame(fail, fail.Status != 0)
-		f.judgeFailure(fail)
+		f.recordLoss(fail, fail.Status != 0)
+		f.recordFailure(fail)
 	}
 	return ans, fail, nil
 }
 
-// place asks for a target.
+// place chooses a target, after querying the owners of candidates unless this router is
+// impaired.
 func (f *flight) place() place.Decision {
 	r := place.Request{
 		Service: f.service, Customer: f.customer, Objective: f.route.Objective, Call: &f.call, Tried: f.tried, Regions: f.regions, Versions: f.versions,
 	}
 	s := f.server
 	var answers []place.Answer
-	if s.options.Query != nil && !s.troubled() {
+	if s.options.Query != nil && !s.impaired() {
 		began := s.options.Clock.Now()
 		answers = s.options.Query(s.options.Placer.Questions(r))
-		f.asked = s.options.Clock.Since(began)
+		f.queryTime = s.options.Clock.Since(began)
 	}
 	f.decision = s.options.Placer.Place(r, answers...)
 	return f.decision
 }
 
-// result is what a failed attempt tells about the target: nothing if it was
-// ended from outside.
+// result returns what a failed attempt shows about the target: Cancelled, which counts neither
+// for nor against the target, if the attempt was ended by this router or the caller.
 func (f *flight) result(kind target.Kind) place.Result {
-	if f.interrupted() != running {
+	if f.interrupted() != causeNone {
 		return place.Cancelled
 	}
 	return results[kind]
 }
 
-// results tells the placer how an attempt failed.
+// results maps the kind of a failed attempt to the result reported to the placer.
 var results = map[target.Kind]place.Result{
 	target.NotSent:  place.Unreachable,
 	target.Refused:  place.Refused,
@@ -96,26 +97,26 @@
 	target.Rejected: place.Cancelled,
 }
 
-// fail describes a failure of the current attempt. Status is 0 if no answer told
-// one.
+// fail describes a failure of the current attempt. Status is 0 if the failure is not a
+// response.
 func (f *flight) fail(kind target.Kind, status int, err error, step string) *target.Failure {
 	return &target.Failure{Kind: kind, Status: status, Err: errs.Wrap(err, step, f.run.Target.Address.String())}
 }
 
 var (
-	errInterrupted = eris.New("request ended before it was sent")
-	errDeclined    = eris.New("target wanted nothing new before the request was sent")
-	errCallerLeft  = eris.New("caller left before the request was sent")
-	errUnsigned    = eris.New("answer without signature")
-	errCrossed     = eris.New("answer of another request")
-	errReplaced    = eris.New("another run of the target answered")
-	errNotRun      = eris.New("target did not run the request")
-	errNoPromise   = eris.New("target failed without saying whether the request ran")
+	errInterrupted    = eris.New("request was cancelled before it was sent")
+	errDeclined       = eris.New("target stopped accepting requests before the request was sent")
+	errCallerLeft     = eris.New("caller closed the connection before the request was sent")
+	errUnsigned       = eris.New("response has no signature")
+	errMismatchedID   = eris.New("response has the ID of another request")
+	errReplaced       = eris.New("response comes from another incarnation of the target")
+	errNotRun         = eris.New("target did not run the request")
+	errOutcomeUnknown = eris.New("response leaves open whether the request ran")
 )
 
-// exchange sends the request and reads the answer's head, and the whole answer
-// unless it is a stream.
-func (f *flight) exchange(ctx *fasthttp.RequestCtx, lastEvent string) (*answer, *target.Failure) {
+// exchange sends the request and reads the response head, and the complete response unless it
+// is a stream.
+func (f *flight) exchange(ctx *fasthttp.RequestCtx, lastEvent string) (*response, *target.Failure) {
 	c, fail := f.connect()
 	if fail != nil {
 		return nil, fail
@@ -129,27 +130,28 @@
 	return ans, fail
 }
 
-// sending tells whether the request was sent whole.
-type sending struct {
+// sendState records whether the request was sent completely.
+type sendState struct {
 	done atomic.Bool
 }
 
-// inlineBytes is the size up to which a request is sent before the answer is
-// awaited. Targets may answer before they have read a longer one.
-const inlineBytes = 8 << 10
+// maxSyncSend is the size in bytes up to which a request is sent before the response is
+// awaited. Longer ones are sent concurrently, because targets may respond before they have read
+// them.
+const maxSyncSend = 8 << 10
 
-// send writes the request. A failed write is not looked at: the read that
-// follows tells whether the target answered before it failed.
-func (f *flight) send(ctx *fasthttp.RequestCtx, c *link.Conn, lastEvent string) *sending {
+// send writes the request. The error of a write is ignored: the read that follows shows whether
+// the target responded before the write failed.
+func (f *flight) send(ctx *fasthttp.RequestCtx, c *link.Conn, lastEvent string) *sendState {
 	b := f.encode(ctx, lastEvent)
-	s := new(sending)
+	s := new(sendState)
 	write := func() error {
 		if _, err := c.Write(b); err == nil {
 			s.done.Store(true)
 		}
 		return nil
 	}
-	if len(b) <= inlineBytes {
+	if len(b) <= maxSyncSend {
 		write() //nolint:errcheck // returns none
 		return s
 	}
@@ -157,7 +159,7 @@
 	return s
 }
 
-// encode returns the request as it is sent to the target.
+// encode returns the request in the form that is sent to the target.
 func (f *flight) encode(ctx *fasthttp.RequestCtx, lastEvent string) []byte {
 	h := &ctx.Request.Header
 	body := f.body
@@ -179,26 +181,26 @@
 	return append(b, body...)
 }
 
-// left is the time that the request still has, at least a millisecond.
+// left returns the time until the deadline of the request, at least a millisecond.
 func (f *flight) left() time.Duration {
 	return max(f.deadline.Sub(f.server.options.Clock.Now()), time.Millisecond)
 }
 
-// receive reads the answer.
-func (f *flight) receive(ctx *fasthttp.RequestCtx, c *link.Conn, sent *sending) (*answer, *target.Failure) {
-	ans := new(answer)
+// receive reads the response.
+func (f *flight) receive(ctx *fasthttp.RequestCtx, c *link.Conn, sent *sendState) (*response, *target.Failure) {
+	ans := new(response)
 	if fail := f.readHead(c, ans); fail != nil {
 		return nil, fail
 	}
-	if fail := f.declined(ans); fail != nil {
+	if fail := f.notRunFailure(ans); fail != nil {
 		return nil, fail
 	}
 	status := ans.header.StatusCode()
 	switch {
-	case saysNotRun(status):
-		return nil, f.fail(target.Broken, status, errNoPromise, "read answer")
-	case status < fasthttp.StatusMultipleChoices && !ans.facts.Signed:
-		return nil, f.fail(target.Broken, status, errUnsigned, "read answer")
+	case impliesNotRun(status):
+		return nil, f.fail(target.Broken, status, errOutcomeUnknown, "read response")
+	case status < fasthttp.StatusMultipleChoices && !ans.info.Signed:
+		return nil, f.fail(target.Broken, status, errUnsigned, "read response")
 	}
 	body := newBody(c.Reader, &ans.header, ctx.IsHead())
 	if status == fasthttp.StatusOK && f.engine {
@@ -206,41 +208,41 @@
 		return ans, nil
 	}
 	var err error
-	if ans.body, err = body.first(inMemory); err != nil {
-		return nil, f.fail(target.Broken, status, err, "read answer")
+	if ans.body, err = body.readUpTo(maxBufferedResponse); err != nil {
+		return nil, f.fail(target.Broken, status, err, "read response")
 	}
-	if len(ans.body) == inMemory {
+	if len(ans.body) == maxBufferedResponse {
 		ans.stream = newLarge(f, c, ans, body, sent, ans.body)
 		return ans, nil
 	}
 	if status >= fasthttp.StatusInternalServerError {
-		f.run.End(place.Faulty) // the later End has no effect then
+		f.run.End(place.Faulty) // a later End has no effect
 	}
 	f.run.End(place.Answered)
-	f.judge(rollout.Answer{Failed: status >= fasthttp.StatusInternalServerError, Took: f.sinceSent(), Size: 1})
+	f.recordOutcome(rollout.Answer{Failed: status >= fasthttp.StatusInternalServerError, Took: f.sinceSent(), Size: 1})
 	f.clear(body)
-	f.finish(c, ans, body, sent)
+	f.releaseConn(c, ans, body, sent)
 	return ans, nil
 }
 
-// declined is the failure of an answer that promises that the request did not
-// run, nil for other answers. Status 421 promises it without the header: it comes
-// from another run of the target, which the request was not meant for.
-func (f *flight) declined(ans *answer) *target.Failure {
+// notRunFailure returns the failure for a response which guarantees that the request did not
+// run, and nil for other responses. Status 421 guarantees it without the header: it comes from
+// another incarnation of the target, which the request was not meant for.
+func (f *flight) notRunFailure(ans *response) *target.Failure {
 	status := ans.header.StatusCode()
 	switch {
 	case status == fasthttp.StatusMisdirectedRequest:
-		return f.fail(target.Replaced, status, errReplaced, "read answer")
-	case ans.facts.NotRun:
-		return f.fail(target.Refused, status, errNotRun, "read answer")
+		return f.fail(target.Replaced, status, errReplaced, "read response")
+	case ans.info.NotRun:
+		return f.fail(target.Refused, status, errNotRun, "read response")
 	}
 	return nil
 }
 
-// saysNotRun reports whether callers take a status alone as a promise that their
-// request did not run. A target that sends it without making the promise in a
-// header may have run the request.
-func saysNotRun(status int) bool {
+// impliesNotRun reports whether callers take the status alone as a guarantee that their request
+// did not run. A target that sends this status without the header that guarantees it may have
+// run the request.
+func impliesNotRun(status int) bool {
 	switch status {
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable, fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest:
 		return true
@@ -248,52 +250,53 @@
 	return false
 }
 
-// maxStray is the number of late answers to other requests that are read over
-// on one connection.
-const maxStray = 2
+// maxMismatched is the number of late responses to other requests that are discarded on one
+// connection.
+const maxMismatched = 2
 
-// readHead reads the head of the answer to this request. Late answers to
-// earlier requests on the connection are read over.
-func (f *flight) readHead(c *link.Conn, ans *answer) *target.Failure {
-	for stray := 0; ; {
+// readHead reads the head of the response to this request. Late responses to earlier requests
+// on the connection are discarded.
+func (f *flight) readHead(c *link.Conn, ans *response) *target.Failure {
+	for mismatched := 0; ; {
 		if err := ans.header.Read(c.Reader); err != nil {
-			return f.fail(target.Broken, 0, err, "read head of answer")
+			return f.fail(target.Broken, 0, err, "read response head")
 		}
 		f.run.Heard()
 		if ans.header.StatusCode() < fasthttp.StatusOK {
 			continue
 		}
-		ans.facts = f.server.options.Codec.DecodeResponse(&ans.header)
-		f.takeNotice(c, ans)
-		if ans.facts.ID == f.call.ID {
+		ans.info = f.server.options.Codec.DecodeResponse(&ans.header)
+		f.recordNotice(c, ans)
+		if ans.info.ID == f.call.ID {
 			return nil
 		}
-		if ans.facts.ID == "" && ans.facts.NotRun || stray >= maxStray || !c.Reused {
-			return f.stray(ans)
+		if ans.info.ID == "" && ans.info.NotRun || mismatched >= maxMismatched || !c.Reused {
+			return f.mismatchFailure(ans)
 		}
-		stray++
-		if err := newBody(c.Reader, &ans.header, false).skip(); err != nil {
-			return f.fail(target.Crossed, 0, err, "read over the answer of another request")
+		mismatched++
+		if err := newBody(c.Reader, &ans.header, false).discard(); err != nil {
+			return f.fail(target.Crossed, 0, err, "discard the response to another request")
 		}
 	}
 }
 
-// stray is the failure of an answer that names another request, or none.
-func (f *flight) stray(ans *answer) *target.Failure {
-	if ans.facts.ID == "" {
-		if fail := f.declined(ans); fail != nil {
+// mismatchFailure returns the failure for a response that names another request, or none.
+func (f *flight) mismatchFailure(ans *response) *target.Failure {
+	if ans.info.ID == "" {
+		if fail := f.notRunFailure(ans); fail != nil {
 			return fail
 		}
 	}
-	return f.fail(target.Crossed, ans.header.StatusCode(), errCrossed, "read answer")
+	return f.fail(target.Crossed, ans.header.StatusCode(), errMismatchedID, "read response")
 }
 
-// finish gives the connection back after a whole answer.
-func (f *flight) finish(c *link.Conn, ans *answer, body *body, sent *sending) {
-	reusable := f.detach() && body.framed() && sent.done.Load() && !ans.facts.Close
+// releaseConn returns the connection to the pool after a complete response, or closes it if it
+// cannot be reused.
+func (f *flight) releaseConn(c *link.Conn, ans *response, body *body, sent *sendState) {
+	reusable := f.detach() && body.framed() && sent.done.Load() && !ans.info.Close
 	if !reusable {
-		c.Close() //nolint:errcheck // the answer is whole
+		c.Close() //nolint:errcheck // the response is complete
 		return
 	}
-	f.server.options.Links.Put(c, ans.facts.IdleTimeout)
+	f.server.options.Links.Put(c, ans.info.IdleTimeout)
 }
--- a/relay/body.go
+++ b/relay/body.go
@@ -9,22 +9,21 @@
 	"github.com/valyala/fasthttp"
 )
 
-// inMemory is the size in bytes from which on answers are passed on as they come. Smaller
-// ones are kept until they are whole, so that another target may be asked for one that
-// breaks.
-const inMemory = 32 << 10
+// maxBufferedResponse is the size in bytes from which on responses are passed on as they
+// arrive. Smaller ones are buffered until they are complete, so that the request may be sent to
+// another target if the response breaks.
+const maxBufferedResponse = 32 << 10
 
-var errTruncated = eris.Wrap(io.ErrUnexpectedEOF, "answer ended early")
+var errTruncated = eris.Wrap(io.ErrUnexpectedEOF, "response is truncated")
 
-// body reads the body of an answer in the framing that its head declares.
+// body reads the body of a response in the framing that its head declares.
 type body struct {
 	raw     *bufio.Reader
 	reader  io.Reader
 	chunked bool
-	// left is the number of bytes that are still missing, for answers with a
-	// length.
+	// left counts the bytes that are still missing, for responses with a length.
 	left *io.LimitedReader
-	// untilClose bodies end with their connection.
+	// untilClose reports that the body ends with its connection.
 	untilClose bool
 }
 
@@ -48,13 +47,13 @@
 	return b
 }
 
-// ended reports whether the whole body was read, as far as its length tells.
+// ended reports whether the body has a length and all of it was read.
 func (b *body) ended() bool { return b.left != nil && b.left.N == 0 }
 
 // framed reports whether the connection can be used after the body.
 func (b *body) framed() bool { return !b.untilClose }
 
-// Read returns io.EOF only after a body that is whole by its framing.
+// Read returns io.EOF only if the body is complete by its framing.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.reader.Read(p)
 	if err != io.EOF {
@@ -69,7 +68,7 @@
 	return n, io.EOF
 }
 
-// trailer reads the lines between the last chunk and the end of the answer.
+// trailer reads the lines between the last chunk and the end of the response.
 func (b *body) trailer() error {
 	for {
 		line, err := b.raw.ReadSlice('\n')
@@ -82,12 +81,11 @@
 	}
 }
 
-// first returns the first bytes of the body, so many at most, or all of a shorter one that
-// is whole.
-func (b *body) first(most int64) ([]byte, error) { return io.ReadAll(io.LimitReader(b, most)) }
+// readUpTo returns at most limit bytes of the body. Fewer bytes are the complete body.
+func (b *body) readUpTo(limit int64) ([]byte, error) { return io.ReadAll(io.LimitReader(b, limit)) }
 
-// skip reads over the body.
-func (b *body) skip() error {
+// discard reads the rest of the body and drops it.
+func (b *body) discard() error {
 	if b.untilClose {
 		return errTruncated
 	}
--- a/relay/connect.go
+++ b/relay/connect.go
@@ -14,42 +14,41 @@
 )
 
 const (
-	// connectPart is the part of a request's objective that connecting to targets may
-	// take in sum. A caller that is refused within it has the time for another router:
-	// with 150 ms for each of three targets callers were told after 450 ms that
-	// nothing was sent.
-	connectPart = 1.0 / 8
-	// leastConnect is the least time for one connection: twice what one takes between
-	// data centres, and a target that takes some others first.
-	leastConnect = 8 * time.Millisecond
+	// connectShare is the share of a request's objective that connecting to targets may take in
+	// sum. A caller that is refused within it has time to try another router: with 150 ms for
+	// each of three targets, callers learned only after 450 ms that nothing was sent.
+	connectShare = 1.0 / 8
+	// minConnectTimeout is the shortest timeout for one connection: twice the time of a
+	// connection between data centres, with a target that accepts some other connections first.
+	minConnectTimeout = 8 * time.Millisecond
 )
 
-// connectTime is how long connecting to the next target may take: half of what is
-// left for connecting, so that another one can be tried.
-func (f *flight) connectTime() time.Duration {
+// connectTimeout returns how long connecting to the next target may take: half of the remaining
+// connect budget, so that another target can be tried.
+func (f *flight) connectTimeout() time.Duration {
 	if f.firstEvent > 0 {
-		return link.MaxDialTimeout // the caller has a part of the answer already
+		return link.MaxDialTimeout // the caller already has a part of the response
 	}
-	left := f.connectLeft()
-	if f.server.connects.typical() > slowConnect {
-		return min(max(left, leastConnect), link.MaxDialTimeout)
+	left := f.connectBudget()
+	if f.server.connectHistory.median() > slowConnect {
+		return min(max(left, minConnectTimeout), link.MaxDialTimeout)
 	}
-	return min(max(left/2, leastConnect), max(left, leastConnect), link.MaxDialTimeout)
+	return min(max(left/2, minConnectTimeout), max(left, minConnectTimeout), link.MaxDialTimeout)
 }
 
-// connectLeft is what is left of the time for connecting.
-func (f *flight) connectLeft() time.Duration {
-	return time.Duration(connectPart*float64(f.route.Objective)) - f.connecting
+// connectBudget returns the remaining time for connecting.
+func (f *flight) connectBudget() time.Duration {
+	return time.Duration(connectShare*float64(f.route.Objective)) - f.connectSpent
 }
 
-// connect returns a connection to the target on which the request may still be
-// sent. Nothing was sent if it fails.
+// connect returns a connection to the target on which the request may still be sent. If it
+// fails, nothing was sent.
 func (f *flight) connect() (*link.Conn, *target.Failure) {
 	c, err := f.dial()
 	if err != nil {
 		return nil, f.notSent(err)
 	}
-	if err := f.mayBeSent(c); err != nil {
+	if err := f.prepareSend(c); err != nil {
 		f.detach()
 		c.Close() //nolint:errcheck // nothing was sent
 		return nil, f.notSent(err)
@@ -57,64 +56,65 @@
 	return c, nil
 }
 
-// notSent is the failure of an attempt of which nothing was sent.
+// notSent returns the failure of an attempt that sent nothing.
 func (f *flight) notSent(err error) *target.Failure { return f.fail(target.NotSent, 0, err, "connect") }
 
-// dial takes or opens a connection.
+// dial takes an idle connection from the pool or opens a new one.
 func (f *flight) dial() (*link.Conn, error) {
 	s, incarnation := f.server, f.run.Incarnation()
 	freshness := link.ShortIdle
 	if f.route.Repeats() {
 		freshness = link.LongIdle
 	}
-	timeout := f.connectTime()
+	timeout := f.connectTimeout()
 	began := s.options.Clock.Now()
 	c, err := s.options.Links.Get(incarnation, f.run.Target.Address, freshness, timeout)
 	took := s.options.Clock.Since(began)
-	f.connecting += min(took, timeout)
+	f.connectSpent += min(took, timeout)
 	if err == nil && c.Reused {
 		return c, nil
 	}
-	s.connects.note(incarnation, took)
-	if err != nil && s.connects.troubled() {
-		// Most connections are slow or fail, whatever the target: this router is in
-		// trouble, so that nothing is learned about the target. A later End has no effect.
+	s.connectHistory.record(incarnation, took)
+	if err != nil && s.connectHistory.impaired() {
+		// Most connections are slow or fail, whatever the target. The cause is this router, so
+		// the attempt is no evidence about the target. A later End has no effect.
 		f.run.End(place.Withdrawn)
 	}
 	return c, err
 }
 
-// mayBeSent makes c the connection of the request, unless the request was ended, its
-// caller has gone or the target wants nothing new. On a busy host some time can pass until there
-// is a connection, and requests may lie unread before: of a flood of 590 a second some
-// reached targets 1.1 s after their callers had left.
-func (f *flight) mayBeSent(c *link.Conn) error {
+// prepareSend makes c the connection of the request, unless the request was cancelled, its
+// caller closed the connection or the target no longer accepts requests. On a busy host some
+// time can pass until there is a connection, and requests may lie unread before that: in a
+// flood of 590 requests per second some reached targets 1.1 s after their callers had closed
+// the connection.
+func (f *flight) prepareSend(c *link.Conn) error {
 	if !f.attach(c) {
 		return errInterrupted
 	}
-	if gone(f) {
-		f.interrupt(callerGone)
+	if callerClosed(f) {
+		f.interrupt(causeCallerClosed)
 		f.run.End(place.Withdrawn)
 		return errCallerLeft
 	}
 	if f.run.Declines() {
-		// That it wants nothing is no failure of the target's; the End in attempt has no
-		// effect after this one.
+		// A target that accepts no requests has not failed. The End in attempt has no effect
+		// after this one.
 		f.run.End(place.Withdrawn)
 		return errDeclined
 	}
-	f.started()
+	f.markDispatched()
 	return nil
 }
 
-// connects are the latest new connections to targets. How long they take at most
-// targets is how long this router's own part takes: a host without processor time
-// or with a full link connects slowly to all of them.
-type connects struct {
+// connectHistory holds the latest new connections to targets. Their median time shows the delay
+// of this router itself: a host without processor time or with a saturated link connects slowly
+// to all targets.
+type connectHistory struct {
 	clock clockwork.Clock
 
 	mu     sync.Mutex
-	latest [keptConnects]connectResult
+	latest [connectSamples]connectResult
 	next   int
 }
 
@@ -125,44 +125,44 @@
 }
 
 const (
-	// keptConnects is the number of connections that are looked at: enough for a median
-	// that four dead targets do not move.
-	keptConnects = 9
-	// connectsFor is how long a connection tells of the present: with a second a host
-	// that bore 590 requests a second refused all for a second, then took all.
-	connectsFor = 300 * time.Millisecond
-	// leastConnects is the number of connections below which nothing is said.
-	leastConnects = 5
-	// usualConnect is the longest time of a connection at which a host is well: a small
-	// one that takes and refuses as much as it can needs 20 to 40 ms, and callers do not
-	// feel them.
-	usualConnect = 45 * time.Millisecond
-	// hopelessConnect is the time from which on hardly a stream is taken: a connection and
-	// the first event that follows it pass the same host some four times, which is
-	// then more than half of the shortest objective of streams.
-	hopelessConnect = 90 * time.Millisecond
-	// slowConnect is the time from which on connections are so slow that the first one
-	// is given all the time for connecting: its target is not to blame.
+	// connectSamples is the number of connections in the history: enough for a median that four
+	// failed targets do not change.
+	connectSamples = 9
+	// connectSampleTTL is how long a connection counts: with one second, a host that received
+	// 590 requests per second refused all of them for a second and then accepted all.
+	connectSampleTTL = 300 * time.Millisecond
+	// minConnectSamples is the number of connections below which there is no median.
+	minConnectSamples = 5
+	// normalConnect is the longest median at which a host is not overloaded: a small host that
+	// accepts and refuses requests at its full capacity needs 20 to 40 ms for a connection,
+	// which callers do not notice.
+	normalConnect = 45 * time.Millisecond
+	// saturatedConnect is the median from which on hardly any stream is admitted. A connection
+	// and the first event that follows it pass the same host some four times, which then takes
+	// more than half of the shortest objective of streams.
+	saturatedConnect = 90 * time.Millisecond
+	// slowConnect is the median from which on the first connection gets the complete connect
+	// budget, because its target is not the cause of the delay.
 	slowConnect = 15 * time.Millisecond
 )
 
-// note notes a new connection, or one that failed.
-func (c *connects) note(target string, took time.Duration) {
+// record adds a new connection, or one that failed.
+func (c *connectHistory) record(target string, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.latest[c.next] = connectResult{at: c.clock.Now(), target: target, took: took}
-	c.next = (c.next + 1) % keptConnects
+	c.next = (c.next + 1) % connectSamples
 }
 
-// typical is the median time of the latest connections, each target counted once; 0
-// if there are few.
-func (c *connects) typical() time.Duration {
+// median returns the median time of the latest connections, counting each target once; 0 if
+// there are too few.
+func (c *connectHistory) median() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock.Now()
-	recent := make([]connectResult, 0, keptConnects)
+	recent := make([]connectResult, 0, connectSamples)
 	for _, r := range c.latest {
-		if r.target != "" && now.Sub(r.at) < connectsFor {
+		if r.target != "" && now.Sub(r.at) < connectSampleTTL {
 			recent = append(recent, r)
 		}
 	}
@@ -170,21 +170,21 @@
 		return cmp.Or(cmp.Compare(a.target, b.target), cmp.Compare(a.took, b.took))
 	})
 	recent = slices.CompactFunc(recent, func(a, b connectResult) bool { return a.target == b.target })
-	if len(recent) < leastConnects {
+	if len(recent) < minConnectSamples {
 		return 0
 	}
 	slices.SortFunc(recent, func(a, b connectResult) int { return cmp.Compare(a.took, b.took) })
 	return recent[len(recent)/2].took
 }
 
-// troubled reports whether connections to most targets are slow.
-func (c *connects) troubled() bool { return c.typical() > usualConnect }
+// impaired reports whether connections to most targets are slow.
+func (c *connectHistory) impaired() bool { return c.median() > normalConnect }
 
-// excess is the part of streams that this router cannot take by what connecting
-// takes: 0 to 1.
-func (c *connects) excess() float64 { return excess(c.typical(), usualConnect, hopelessConnect) }
+// excess returns the share of streams, 0 to 1, that this router cannot serve in time, estimated
+// from the duration of connecting.
+func (c *connectHistory) excess() float64 { return excess(c.median(), normalConnect, saturatedConnect) }
 
-// excess is where a time lies between one that is usual and one that is hopeless.
+// excess returns the position of d between low (0) and high (1).
 func excess(d, usual, hopeless time.Duration) float64 {
 	return min(max((d-usual).Seconds()/(hopeless-usual).Seconds(), 0), 1)
 }
--- a/relay/fake_test.go
+++ b/relay/fake_test.go
@@ -64,7 +64,7 @@
 			f.mu.Lock()
 			f.conns = append(f.conns, c)
 			f.mu.Unlock()
-			f.group.Go(func() error { f.talk(c); return nil })
+			f.group.Go(func() error { f.serveConn(c); return nil })
 		}
 	})
 	t.Cleanup(func() {
@@ -79,7 +79,7 @@
 	return f
 }
 
-func (f *fakeTarget) talk(c net.Conn) {
+func (f *fakeTarget) serveConn(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -105,13 +105,13 @@
 	}
 }
 
-func (f *fakeTarget) seen() []*arrival {
+func (f *fakeTarget) received() []*arrival {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.arrivals
 }
 
-func (f *fakeTarget) hungUp() int {
+func (f *fakeTarget) closedConns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.closed
@@ -128,15 +128,15 @@
 	return b.String()
 }
 
-// reply writes an answer with a length.
-func reply(c net.Conn, status int, id, body string, headers ...string) bool {
+// respond writes an answer with a length.
+func respond(c net.Conn, status int, id, body string, headers ...string) bool {
 	fmt.Fprint(c, text(status, id, body, headers...))
 	return true
 }
 
 const seal = "Response-Seal: s"
 
-func answers(a *arrival, c net.Conn) bool { return reply(c, 200, a.id(), "answer", seal) }
+func respondOK(a *arrival, c net.Conn) bool { return respond(c, 200, a.id(), "answer", seal) }
 
 // beginStream writes the head of a stream; event and endStream follow.
 func beginStream(a *arrival, c net.Conn) {
@@ -156,8 +156,8 @@
 // stallTime is how long callers may take nothing.
 const stallTime = 400 * time.Millisecond
 
-// site is a server before targets.
-type site struct {
+// testServer is a server before targets.
+type testServer struct {
 	*Server
 	// targets is what the placer was given.
 	targets []*roster.Target
@@ -166,14 +166,14 @@
 	mu      sync.Mutex
 }
 
-func (s *site) view() View {
+func (s *testServer) view() View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return View{Table: s.table, Fresh: s.fresh}
 }
 
-// leave marks the targets at an address as draining.
-func (s *site) leave(addr netip.AddrPort) {
+// drain marks the targets at an address as draining.
+func (s *testServer) drain(addr netip.AddrPort) {
 	var list []*roster.Target
 	for _, known := range s.targets {
 		t := *known
@@ -183,7 +183,7 @@
 	s.options.Placer.SetTargets(list, s.view().Table)
 }
 
-func (s *site) set(table *route.Table) {
+func (s *testServer) set(table *route.Table) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.table = table
@@ -195,8 +195,8 @@
 	routeTimeout = 2 * time.Second
 )
 
-// spec has a route of each kind; all but /model/ and /resume/ lead to plain.
-func spec() route.Spec {
+// testSpec has a route of each kind; all but /model/ and /resume/ lead to plain.
+func testSpec() route.Spec {
 	r := func(prefix string, kind route.Kind, service string) *route.Route {
 		return &route.Route{
 			Name: prefix, Host: "h", Prefix: prefix, Kind: kind, Timeout: routeTimeout, Objective: time.Second, MaxAttempts: 2,
@@ -224,13 +224,15 @@
 	return table
 }
 
-func newSite(t testing.TB, targets ...*fakeTarget) *site { return newSiteDialling(t, nil, targets...) }
+func newTestServer(t testing.TB, targets ...*fakeTarget) *testServer {
+	return newTestServerDialling(t, nil, targets...)
+}
 
-// newSiteDialling returns a site that connects to targets in its own way; nil
+// newTestServerDialling returns a site that connects to targets in its own way; nil
 // is the usual one.
-func newSiteDialling(t testing.TB, dial func(netip.AddrPort, time.Duration) (net.Conn, error), targets ...*fakeTarget) *site {
+func newTestServerDialling(t testing.TB, dial func(netip.AddrPort, time.Duration) (net.Conn, error), targets ...*fakeTarget) *testServer {
 	t.Helper()
-	s := &site{table: newTable(t, spec()), fresh: true}
+	s := &testServer{table: newTable(t, testSpec()), fresh: true}
 	clock := clockwork.NewRealClock()
 	metrics, err := metric.New()
 	assert.NilError(t, err)
@@ -263,7 +265,7 @@
 	r *bufio.Reader
 }
 
-func (s *site) dial(t *testing.T) *caller {
+func (s *testServer) dial(t *testing.T) *caller {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Address().String())
 	assert.NilError(t, err)
@@ -301,7 +303,7 @@
 	return res
 }
 
-func (s *site) ask(t *testing.T, method, path, id, body string, headers ...string) *result {
+func (s *testServer) do(t *testing.T, method, path, id, body string, headers ...string) *result {
 	t.Helper()
 	c := s.dial(t)
 	c.send(method, path, id, body, headers...)
--- a/relay/flight.go
+++ b/relay/flight.go
@@ -18,82 +18,84 @@
 	"zinccove.example/zinccove/target"
 )
 
-// cause says why a request was ended from outside.
+// cause is the reason why a request was cancelled.
 type cause int
 
 const (
-	// running: it was not ended from outside.
-	running cause = iota
-	// callerGone: the caller closed its connection.
-	callerGone
-	// timeUp: the route's time limit or the caller's deadline passed.
-	timeUp
-	// stopped: the limit of a planned stop was reached.
-	stopped
-	// callerStalled: the caller took no bytes of its answer for too long.
-	callerStalled
+	// causeNone: the request was not cancelled.
+	causeNone cause = iota
+	// causeCallerClosed: the caller closed its connection.
+	causeCallerClosed
+	// causeTimeUp: the route's time limit or the caller's deadline passed.
+	causeTimeUp
+	// causeStopped: the limit of a graceful shutdown was reached.
+	causeStopped
+	// causeCallerStalled: the caller read no bytes of its response for too long.
+	causeCallerStalled
 )
 
-// flight is one request on its way. One goroutine uses it; only interrupt and
-// what it needs may be used by others.
+// flight is one request in flight. One goroutine uses it; other goroutines may call only
+// interrupt and what interrupt uses.
 type flight struct {
 	server   *Server
 	conn     net.Conn
 	received time.Time
 	call     message.RequestInfo
-	// version is that of the table that the request was admitted with.
+	// version is the version of the table that the request was admitted with.
 	version uint64
 	route   *route.Route
 	service string
-	// engine tells that the service runs model engines, which answer in streams.
+	// engine reports that the service runs model engines, which respond with streams.
 	engine   bool
 	customer string
-	// regions are those in which the request may run; nil allows all.
+	// regions are the regions in which the request may run; nil allows all.
 	regions []string
-	// versions are those of targets at which it may run.
+	// versions restricts the versions of targets at which the request may run.
 	versions place.Versions
-	// hideKey keeps the caller's API key from the target.
-	hideKey  bool
-	deadline time.Time
-	life     *request.Request
+	// hideKey makes the router remove the caller's API key from the request to the target.
+	hideKey   bool
+	deadline  time.Time
+	lifecycle *request.Request
 	// tried are the incarnations of the targets of all attempts, the current one last.
 	tried    []string
 	decision place.Decision
 
-	// body is that of the request, reserved the room that it takes if it is large.
+	// body is the body of the request, reserved the number of bytes reserved for it if it is
+	// large.
 	body     []byte
 	reserved int64
-	// header is that of the request, content what it asks for once that was needed.
+	// header is the header of the request. content identifies what the request asks for; it is
+	// set on first use.
 	header  *fasthttp.RequestHeader
 	content *quarantine.Content
 	// run is the current attempt.
 	run *place.Run
-	// said is what the target of the current attempt said of itself.
-	said notice.Notice
-	// starting is set from when a stream was taken until it is sent for the first time.
-	starting bool
-	// asked is how long the last placement waited for answers of other routers.
-	asked time.Duration
-	// connecting is how long connecting to targets has taken.
-	connecting time.Duration
-	// firstEvent is the time from acceptance to the first event of a stream.
+	// notice is what the target of the current attempt reported about itself.
+	notice notice.Notice
+	// dispatching is set from the admission of a stream until it is sent for the first time.
+	dispatching bool
+	// queryTime is how long the last placement waited for replies of other routers.
+	queryTime time.Duration
+	// connectSpent is how long connecting to targets has taken so far.
+	connectSpent time.Duration
+	// firstEvent is the time from receiving the request to the first event of its stream.
 	firstEvent time.Duration
-	// untaken tells since when the caller has not taken what a stream handed over.
-	untaken untaken
+	// stall is the time since which the caller has not read the bytes that a stream passed on.
+	stall stallTimer
 
-	// What follows may be used by other goroutines, under mu.
+	// mu guards the fields below, which other goroutines may use.
 	mu sync.Mutex
 	// link is the connection of the current attempt, nil between attempts.
 	link *link.Conn
-	// at is the run that link belongs to, sent when it got the connection;
-	// attempts counts those that got one.
-	at       *place.Run
+	// linkRun is the attempt that link belongs to, sent the time when it got the connection;
+	// attempts counts the attempts that got one.
+	linkRun  *place.Run
 	sent     time.Time
 	attempts int
 	cause    cause
 }
 
-// serve carries the request to its end. Streams end later, in their Close.
+// serve makes attempts until the request is complete. Streams end later, in their Close.
 func (f *flight) serve(ctx *fasthttp.RequestCtx) {
 	for {
 		ans, fail, r := f.attempt(ctx, "")
@@ -102,64 +104,64 @@
 			f.refuse(ctx, r)
 			return
 		case fail != nil:
-			if f.next(fail) {
+			if f.retryAfterFailure(fail) {
 				continue
 			}
 			f.giveUp(ctx, fail)
 			return
 		case ans.stream != nil:
-			f.passStream(ctx, ans)
+			f.writeStream(ctx, ans)
 			return
 		}
-		if f.nextAfterAnswer(ans) {
+		if f.retryAfterErrorResponse(ans) {
 			continue
 		}
-		f.passWhole(ctx, ans)
+		f.writeResponse(ctx, ans)
 		return
 	}
 }
 
-// nextAfterAnswer decides whether another target is tried after an answer that
-// is a failure of the target's own (status 500 and above). If not, the caller
-// gets that answer.
-func (f *flight) nextAfterAnswer(ans *answer) bool {
+// retryAfterErrorResponse decides whether another target is tried after a response with status
+// 500 and above. If not, the caller gets that response.
+func (f *flight) retryAfterErrorResponse(ans *response) bool {
 	status := ans.header.StatusCode()
 	if status < fasthttp.StatusInternalServerError {
 		return false
 	}
 	now := f.server.options.Clock.Now()
-	if !f.route.Repeats() || !f.life.MayRetry(target.Broken, now) || !f.server.options.Retries.Take() {
+	if !f.route.Repeats() || !f.lifecycle.MayRetry(target.Broken, now) || !f.server.options.Retries.Take() {
 		return false
 	}
 	f.server.logAttempt(f, failureOfTarget, status, nil)
-	f.life.Fail(target.Broken, now, func() bool { return true })
+	f.lifecycle.Fail(target.Broken, now, func() bool { return true })
 	return true
 }
 
-// next decides whether another target is tried after a failed attempt.
-func (f *flight) next(fail *target.Failure) bool {
+// retryAfterFailure decides whether another target is tried after a failed attempt.
+func (f *flight) retryAfterFailure(fail *target.Failure) bool {
 	f.server.logAttempt(f, failureNames[fail.Kind], fail.Status, fail)
 	if fail.Kind == target.Crossed {
 		f.server.options.Metrics.Inc(metric.AttemptsCrossed)
 	}
-	if f.interrupted() != running {
-		f.life.GiveUp(!fail.Kind.NotRun())
+	if f.interrupted() != causeNone {
+		f.lifecycle.GiveUp(!fail.Kind.NotRun())
 		return false
 	}
-	if fail.Kind == target.NotSent && f.firstEvent == 0 && f.connectLeft() < leastConnect {
-		f.life.GiveUp(false) // another router may be faster
+	if fail.Kind == target.NotSent && f.firstEvent == 0 && f.connectBudget() < minConnectTimeout {
+		f.lifecycle.GiveUp(false) // another router may be faster
 		return false
 	}
 	take := f.server.options.Retries.Take
 	if fail.Kind == target.NotSent {
-		// The budget is for second arrivals at a service. Replaced attempts did
-		// arrive, at another run, so what follows them takes from it.
+		// The budget limits repeated arrivals at a service. Replaced attempts did arrive, at
+		// another incarnation of the target, so the retry after one is counted against the
+		// budget.
 		take = func() bool { return true }
 	}
-	return f.life.Fail(fail.Kind, f.server.options.Clock.Now(), take) == request.Retry
+	return f.lifecycle.Fail(fail.Kind, f.server.options.Clock.Now(), take) == request.Retry
 }
 
-// failureOfTarget is the name in logs of an answer of status 500 and above.
+// failureOfTarget is the name in logs of a response with status 500 and above.
 const failureOfTarget = "target_error"
 
 // failureNames are the names of failures in logs and refusals.
@@ -172,22 +174,22 @@
 	target.Rejected: "rejected",
 }
 
-// busyRetry is when a caller may come back after every target refused.
+// busyRetry is the shortest Retry-After of a request that every target refused.
 const busyRetry = 150 * time.Millisecond
 
-// giveUp answers a request whose attempts failed.
+// giveUp refuses a request whose attempts failed.
 func (f *flight) giveUp(ctx *fasthttp.RequestCtx, fail *target.Failure) {
 	r := &refusal{reason: failureNames[fail.Kind]}
 	switch {
-	case f.interrupted() == callerGone:
+	case f.interrupted() == causeCallerClosed:
 		f.end(ctx, &refusal{status: fasthttp.StatusBadGateway, reason: reasonCallerGone})
 		ctx.SetConnectionClose()
 		return
-	case f.life.Outcome() == request.NotRun && fail.Kind == target.NotSent:
+	case f.lifecycle.Outcome() == request.NotRun && fail.Kind == target.NotSent:
 		r.status, r.retryAfter = fasthttp.StatusServiceUnavailable, routerBusyRetry
-	case f.life.Outcome() == request.NotRun:
+	case f.lifecycle.Outcome() == request.NotRun:
 		r.status, r.retryAfter = fasthttp.StatusServiceUnavailable, max(busyRetry, f.server.options.Placer.Backoff(f.service))
-	case f.interrupted() == timeUp:
+	case f.interrupted() == causeTimeUp:
 		r.status, r.reason = fasthttp.StatusGatewayTimeout, reasonTimeLimit
 	default:
 		r.status = fasthttp.StatusBadGateway
@@ -195,43 +197,43 @@
 	f.end(ctx, r)
 }
 
-// refuse answers a request for which there is no target. It has not run if no
-// earlier attempt may have.
+// refuse refuses a request for which there is no target. Status 502 replaces the status of the
+// refusal if an earlier attempt may have run the request.
 func (f *flight) refuse(ctx *fasthttp.RequestCtx, r *refusal) {
-	if f.life.Outcome() != request.NotRun {
+	if f.lifecycle.Outcome() != request.NotRun {
 		r = &refusal{status: fasthttp.StatusBadGateway, reason: r.reason}
 	}
-	f.life.GiveUp(false)
+	f.lifecycle.GiveUp(false)
 	f.end(ctx, r)
 }
 
-// end answers with a refusal and ends the request.
+// end writes a refusal and ends the request.
 func (f *flight) end(ctx *fasthttp.RequestCtx, r *refusal) {
 	f.server.logRefused(f, r)
 	r.write(ctx)
-	f.server.leave(f)
+	f.server.unregister(f)
 }
 
-// started notes that a stream is on its way to a target, or that it ends before.
-func (f *flight) started() {
-	if f.starting {
-		f.starting = false
-		f.server.throttle.started()
+// markDispatched records that a stream is sent to a target, or that it ends before that.
+func (f *flight) markDispatched() {
+	if f.dispatching {
+		f.dispatching = false
+		f.server.throttle.dispatched()
 	}
 }
 
-// interrupt ends the attempt that runs and all later ones.
+// interrupt ends the current attempt and prevents later ones.
 func (f *flight) interrupt(c cause) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cause != running {
+	if f.cause != causeNone {
 		return
 	}
 	f.cause = c
 	if f.link != nil {
 		f.link.Close() //nolint:errcheck // the attempt ends with it
 	}
-	if c == callerGone {
+	if c == causeCallerClosed {
 		f.server.options.Metrics.Inc(metric.CallersGone)
 	}
 }
@@ -242,49 +244,50 @@
 	return f.cause
 }
 
-// attach makes c the connection that interrupt closes.
+// attach makes c the connection that interrupt closes. It reports false if the request was
+// cancelled.
 func (f *flight) attach(c *link.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.server.options.Clock.Now()
-	if f.cause == running && !now.Before(f.deadline) {
-		// The host may have been suspended: its timers do not show that time is up.
-		f.cause = timeUp
+	if f.cause == causeNone && !now.Before(f.deadline) {
+		// The host may have been suspended, so that no timer has fired although the time is up.
+		f.cause = causeTimeUp
 	}
-	if f.cause != running {
+	if f.cause != causeNone {
 		return false
 	}
-	f.link, f.at = c, f.run
+	f.link, f.linkRun = c, f.run
 	f.sent = now
 	f.attempts++
 	return true
 }
 
-// patience is the part of the objective that a plain target may be silent for
-// before a request that may be repeated is given to another one.
-const patience = 0.6
+// maxSilenceShare is the share of the objective for which a plain target may be silent before a
+// repeatable request is sent to another target.
+const maxSilenceShare = 0.6
 
-// leaveLostTarget ends the attempt at a target that seems lost, so that the
-// request is repeated elsewhere before its caller gives up: its data centre
-// seems to be cut off, or a plain service does not answer in time.
-func (f *flight) leaveLostTarget(now time.Time) {
+// abandonLostTarget ends the attempt at a target that seems lost, so that the request is
+// repeated elsewhere before its caller gives up. A target seems lost if its data centre seems
+// to be cut off, or if it is a plain service that does not respond in time.
+func (f *flight) abandonLostTarget(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.link == nil {
 		return
 	}
 	late := !f.engine && f.attempts < f.route.MaxAttempts &&
-		now.Sub(f.sent) > time.Duration(patience*float64(f.route.Objective))
-	if late || f.at.CutOff() {
+		now.Sub(f.sent) > time.Duration(maxSilenceShare*float64(f.route.Objective))
+	if late || f.linkRun.CutOff() {
 		f.link.Close() //nolint:errcheck // the attempt ends with it
 	}
 }
 
-// detach takes the connection away from interrupt. It reports whether the
-// connection may be used again.
+// detach makes interrupt leave the connection open. It reports whether the connection may be
+// used again.
 func (f *flight) detach() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.link = nil
-	return f.cause == running
+	return f.cause == causeNone
 }
--- a/relay/flood_bench_test.go
+++ b/relay/flood_bench_test.go
@@ -13,7 +13,7 @@
 // BenchmarkRefusal has a caller connect, send a request of usual size and be refused for
 // the flood of its customer. Caller and router are one process.
 func BenchmarkRefusal(b *testing.B) {
-	s := newSite(b)
+	s := newTestServer(b)
 	s.options.Log = zerolog.New(io.Discard)
 	clock := clockwork.NewRealClock()
 	s.throttle.rate, s.throttle.at = 1e-9, clock.Now()
--- a/relay/lag_test.go
+++ b/relay/lag_test.go
@@ -12,7 +12,7 @@
 func newTestLag() (*lag, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	l := &lag{clock: clock}
-	l.expect(clock.Now())
+	l.expectTick(clock.Now())
 	return l, clock
 }
 
@@ -22,9 +22,9 @@
 		least, most int
 	}{
 		{0, 0, 0},
-		{leastLag, 0, 0},
-		{(leastLag + mostLag) / 2, 400, 600},
-		{mostLag, 1000, 1000},
+		{minLag, 0, 0},
+		{(minLag + maxLag) / 2, 400, 600},
+		{maxLag, 1000, 1000},
 		{time.Minute, 1000, 1000},
 	} {
 		l, clock := newTestLag()
@@ -34,21 +34,21 @@
 	}
 }
 
-func TestLagIsForgottenByAndBy(t *testing.T) {
+func TestLagDecays(t *testing.T) {
 	l, clock := newTestLag()
-	clock.Advance(mostLag)
-	assert.Equal(t, l.looked(), mostLag)
-	l.expect(clock.Now())
-	assert.Equal(t, l.looked(), time.Duration(0))
-	assert.Assert(t, l.current() > leastLag)
+	clock.Advance(maxLag)
+	assert.Equal(t, l.recordTick(), maxLag)
+	l.expectTick(clock.Now())
+	assert.Equal(t, l.recordTick(), time.Duration(0))
+	assert.Assert(t, l.current() > minLag)
 	for range 10 {
-		l.looked()
+		l.recordTick()
 	}
 	assert.Equal(t, l.excess(), 0.0)
 }
 
-// TestLagCountsBeforeTheLateLook has a process that does not come to look at all.
-func TestLagCountsBeforeTheLateLook(t *testing.T) {
+// TestOverdueTickCountsAsLag has a process that does not come to look at all.
+func TestOverdueTickCountsAsLag(t *testing.T) {
 	l, clock := newTestLag()
 	clock.Advance(time.Minute)
 	assert.Equal(t, l.current(), time.Minute)
@@ -57,14 +57,14 @@
 // TestBusyRouterRefusesStreamsOnly has a router that is far behind: streams are
 // refused, not run, with when to come back; plain calls cost little and go on.
 func TestBusyRouterRefusesStreamsOnly(t *testing.T) {
-	f := newTarget(t, "t", answers)
-	s := newSite(t, f)
-	s.lag.last.Store(int64(time.Minute))
-	s.throttle.look(s.excess(), s.options.Clock.Now())
+	f := newTarget(t, "t", respondOK)
+	s := newTestServer(t, f)
+	s.lag.measured.Store(int64(time.Minute))
+	s.throttle.adjust(s.excess(), s.options.Clock.Now())
 	s.throttle.tokens = 0
-	res := s.ask(t, "POST", "/model/", "r", "b")
+	res := s.do(t, "POST", "/model/", "r", "b")
 	assert.Equal(t, res.header.StatusCode(), 503)
 	assert.Assert(t, len(res.header.Peek("Retry-After")) > 0)
-	assert.Equal(t, s.ask(t, "POST", "/once/", "r", "b").header.StatusCode(), 200)
-	assert.Equal(t, len(f.seen()), 1)
+	assert.Equal(t, s.do(t, "POST", "/once/", "r", "b").header.StatusCode(), 200)
+	assert.Equal(t, len(f.received()), 1)
 }
--- /dev/null
+++ b/relay/monitor.go
@@ -0,0 +1,87 @@
+package relay
+
+import (
+	"syscall"
+	"time"
+
+	"zinccove.example/zinccove/hangup"
+	"zinccove.example/zinccove/metric"
+)
+
+const (
+	// checkInterval is the time between checks of the running requests. Work for callers that
+	// closed their connections has to end within half a second.
+	checkInterval = 100 * time.Millisecond
+)
+
+// monitor ends requests whose caller closed the connection or whose time is up, until the
+// server stops. The delay of its ticks is the lag of this process.
+func (s *Server) monitor() error {
+	clock := s.options.Clock
+	for {
+		s.lag.expectTick(clock.Now().Add(checkInterval))
+		select {
+		case <-s.stop:
+			return nil
+		case <-clock.After(checkInterval):
+		}
+		s.options.Metrics.Observe(metric.ProcessLag, s.lag.recordTick())
+		refused := s.throttle.adjust(s.excess(), s.options.Clock.Now())
+		if s.overload.update(refused) {
+			s.options.Log.Warn().Bool("strained", s.Overloaded()).Dur("lag_ms", s.lag.current()).Dur("connects_ms", s.connectHistory.median()).
+				Msg("overload state changed; the readiness check reports it")
+		}
+		s.checkRequests()
+	}
+}
+
+func (s *Server) checkRequests() {
+	now := s.options.Clock.Now()
+	table := s.options.View().Table
+	for _, f := range s.inFlight() {
+		limit := f.deadline
+		// The newest time limit of a route also applies to requests that run already.
+		if table != nil {
+			if r := table.Route(f.route.Name); r != nil {
+				limit = earlier(limit, f.received.Add(r.Timeout))
+			}
+		}
+		switch {
+		case f.stall.exceeds(s.options.Limits.WriteTimeout, now):
+			f.closeStalled() // also after its time was up, which ends only the exchange with the target
+		case !now.Before(limit):
+			f.interrupt(causeTimeUp)
+		case callerClosed(f):
+			f.interrupt(causeCallerClosed)
+		case f.route.Repeats():
+			f.abandonLostTarget(now)
+		}
+	}
+}
+
+func earlier(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
+	}
+	return b
+}
+
+func (s *Server) inFlight() []*flight {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	list := make([]*flight, 0, len(s.flights))
+	for f := range s.flights {
+		list = append(list, f)
+	}
+	return list
+}
+
+// callerClosed reports whether the caller closed its connection.
+func callerClosed(f *flight) bool {
+	sc, ok := f.conn.(syscall.Conn)
+	if !ok {
+		return false
+	}
+	raw, err := sc.SyscallConn()
+	return err != nil || hangup.Peek(raw) == hangup.Closed
+}
--- a/relay/notice.go
+++ b/relay/notice.go
@@ -7,26 +7,26 @@
 	"zinccove.example/zinccove/metric"
 )
 
-// takeNotice takes what a target says of itself in the head of an answer, whatever becomes
-// of that answer: only so a target that the store does not know to leave gets nothing more,
-// and one that wants a backoff gets it.
+// recordNotice records what a target reports about itself in the head of a response, whether or
+// not that response can be used. The notice is the only way to learn of a target that is
+// draining but not yet marked so in the store, or of the backoff that a target requests.
 //
-// A late answer to another request on a used connection is the target's too. Status 421
-// comes from another run at its address, and an answer to another request on a new
-// connection from nobody knows whom.
-func (f *flight) takeNotice(c *link.Conn, ans *answer) {
-	foreign := ans.facts.ID != "" && ans.facts.ID != f.call.ID && !c.Reused
+// A late response to another request on a reused connection also comes from the target. Status
+// 421 comes from another incarnation at its address, and a response to another request on a new
+// connection comes from an unknown sender.
+func (f *flight) recordNotice(c *link.Conn, ans *response) {
+	foreign := ans.info.ID != "" && ans.info.ID != f.call.ID && !c.Reused
 	if foreign || ans.header.StatusCode() == fasthttp.StatusMisdirectedRequest {
 		return
 	}
-	f.said = ans.facts.Notice
-	news := f.run.Notice(f.said)
-	if news.Draining {
+	f.notice = ans.info.Notice
+	changes := f.run.Notice(f.notice)
+	if changes.Draining {
 		f.server.options.Metrics.Inc(metric.NoticesLeaving)
 		f.server.logNotice(f, ans).Msg("target says that it leaves")
 	}
-	if news.Backoff > 0 {
+	if changes.Backoff > 0 {
 		f.server.options.Metrics.Inc(metric.NoticesBackoff)
-		f.server.logNotice(f, ans).Dur("backoff_ms", news.Backoff).Msg("target wants a backoff")
+		f.server.logNotice(f, ans).Dur("backoff_ms", changes.Backoff).Msg("target requested a backoff")
 	}
 }
--- a/relay/notice_test.go
+++ b/relay/notice_test.go
@@ -15,20 +15,20 @@
 
 const leaves = "Server-Leaving: 1"
 
-// TestWordOfLeavingIsTakenFromEveryAnswer has one of two targets say that it leaves, in each
+// TestDrainingNoticeIsReadFromEveryResponse has one of two targets say that it leaves, in each
 // kind of answer; no request after that one may reach it.
-func TestWordOfLeavingIsTakenFromEveryAnswer(t *testing.T) {
+func TestDrainingNoticeIsReadFromEveryResponse(t *testing.T) {
 	tests := []struct {
 		name, path string
 		serve      func(*arrival, net.Conn) bool
 	}{
-		{"whole", "/once/", func(a *arrival, c net.Conn) bool { return reply(c, 200, a.id(), "x", seal, leaves) }},
-		{"not found", "/once/", func(a *arrival, c net.Conn) bool { return reply(c, 404, a.id(), "x", seal, leaves) }},
-		{"fault", "/repeat/", func(a *arrival, c net.Conn) bool { return reply(c, 500, a.id(), "x", seal, leaves) }},
-		{"refusal", "/once/", func(a *arrival, c net.Conn) bool { return reply(c, 503, a.id(), "", "Not-Executed: 1", leaves) }},
-		{"refusal without an id", "/once/", func(_ *arrival, c net.Conn) bool { return reply(c, 503, "", "", "Not-Executed: 1", leaves) }},
-		{"no promise", "/once/", func(a *arrival, c net.Conn) bool { return reply(c, 503, a.id(), "", leaves) }},
-		{"unsigned", "/once/", func(a *arrival, c net.Conn) bool { return reply(c, 200, a.id(), "x", leaves) }},
+		{"whole", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 200, a.id(), "x", seal, leaves) }},
+		{"not found", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 404, a.id(), "x", seal, leaves) }},
+		{"fault", "/repeat/", func(a *arrival, c net.Conn) bool { return respond(c, 500, a.id(), "x", seal, leaves) }},
+		{"refusal", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 503, a.id(), "", "Not-Executed: 1", leaves) }},
+		{"refusal without an id", "/once/", func(_ *arrival, c net.Conn) bool { return respond(c, 503, "", "", "Not-Executed: 1", leaves) }},
+		{"no promise", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 503, a.id(), "", leaves) }},
+		{"unsigned", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 200, a.id(), "x", leaves) }},
 		{"cut body", "/once/", func(a *arrival, c net.Conn) bool {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\n%s\r\nContent-Length: 9\r\n\r\nx", a.id(), seal, leaves)
 			return false
@@ -44,64 +44,64 @@
 			leaving := newTarget(t, "t1", tc.serve)
 			other := newTarget(t, "t2", func(a *arrival, c net.Conn) bool {
 				if tc.path != "/model/" {
-					return answers(a, c)
+					return respondOK(a, c)
 				}
 				beginStream(a, c)
 				event(c, 1)
 				return endStream(c)
 			})
-			s := newSite(t, leaving, other)
-			for i := 0; len(leaving.seen()) == 0; i++ {
+			s := newTestServer(t, leaving, other)
+			for i := 0; len(leaving.received()) == 0; i++ {
 				assert.Assert(t, i < 200, "the target is not used")
-				s.ask(t, "POST", tc.path, fmt.Sprint("first", i), "b", fmt.Sprintf("Prompt-Prefix: p%d:100,o:10", i))
+				s.do(t, "POST", tc.path, fmt.Sprint("first", i), "b", fmt.Sprintf("Prompt-Prefix: p%d:100,o:10", i))
 			}
 			for i := range 40 {
-				res := s.ask(t, "POST", tc.path, fmt.Sprint("r", i), "b", fmt.Sprintf("Prompt-Prefix: q%d:100,o:10", i))
+				res := s.do(t, "POST", tc.path, fmt.Sprint("r", i), "b", fmt.Sprintf("Prompt-Prefix: q%d:100,o:10", i))
 				assert.Equal(t, res.header.StatusCode(), 200)
 			}
-			assert.Equal(t, len(leaving.seen()), 1)
+			assert.Equal(t, len(leaving.received()), 1)
 		})
 	}
 }
 
-// TestWordOfAnotherRunIsNotTheTargets has another run answer at the address of a target, and
+// TestNoticeOfAnotherIncarnationIsIgnored has another run answer at the address of a target, and
 // an answer to nobody knows what come on a new connection.
-func TestWordOfAnotherRunIsNotTheTargets(t *testing.T) {
+func TestNoticeOfAnotherIncarnationIsIgnored(t *testing.T) {
 	for name, strange := range map[string]func(net.Conn) bool{
-		"another run":     func(c net.Conn) bool { return reply(c, 421, "", "", leaves) },
-		"another request": func(c net.Conn) bool { return reply(c, 200, "other", "x", seal, leaves) },
+		"another run":     func(c net.Conn) bool { return respond(c, 421, "", "", leaves) },
+		"another request": func(c net.Conn) bool { return respond(c, 200, "other", "x", seal, leaves) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newTarget(t, "t1", func(_ *arrival, c net.Conn) bool { return strange(c) })
-			s := newSite(t, f)
-			s.ask(t, "POST", "/once/", "r", "b")
+			s := newTestServer(t, f)
+			s.do(t, "POST", "/once/", "r", "b")
 			assert.Equal(t, len(s.options.Placer.SaidLeaving()), 0)
 		})
 	}
 }
 
-// TestLateAnswerTellsThatItsTargetLeaves has the answer to an earlier request come before
+// TestDrainingNoticeIsReadFromLateResponse has the answer to an earlier request come before
 // the one that is awaited.
-func TestLateAnswerTellsThatItsTargetLeaves(t *testing.T) {
+func TestDrainingNoticeIsReadFromLateResponse(t *testing.T) {
 	var n atomic.Int32
 	f := newTarget(t, "t1", func(a *arrival, c net.Conn) bool {
 		if n.Add(1) == 2 {
-			reply(c, 200, "earlier", "x", seal, leaves)
+			respond(c, 200, "earlier", "x", seal, leaves)
 		}
-		return answers(a, c)
+		return respondOK(a, c)
 	})
-	s := newSite(t, f)
+	s := newTestServer(t, f)
 	for i := range 2 {
-		assert.Equal(t, s.ask(t, "POST", "/once/", fmt.Sprint("r", i), "b").header.StatusCode(), 200)
+		assert.Equal(t, s.do(t, "POST", "/once/", fmt.Sprint("r", i), "b").header.StatusCode(), 200)
 	}
 	assert.Equal(t, len(s.options.Placer.SaidLeaving()), 1)
-	assert.Equal(t, s.ask(t, "POST", "/once/", "r3", "b").header.StatusCode(), 503)
+	assert.Equal(t, s.do(t, "POST", "/once/", "r3", "b").header.StatusCode(), 503)
 }
 
-// TestRequestThatWasPlacedBeforeTheWordIsNotSent has a target say that it leaves while the
+// TestRequestPlacedBeforeDrainingNoticeIsNotSent has a target say that it leaves while the
 // router connects to it.
-func TestRequestThatWasPlacedBeforeTheWordIsNotSent(t *testing.T) {
-	assertNothingSentAfter(t, func(s *site, to netip.AddrPort) {
+func TestRequestPlacedBeforeDrainingNoticeIsNotSent(t *testing.T) {
+	assertNothingSentAfter(t, func(s *testServer, to netip.AddrPort) {
 		for _, target := range s.targets {
 			if target.Address == to {
 				s.options.Placer.HearLeaving(place.HashOf(target.Incarnation()))
@@ -110,34 +110,34 @@
 	})
 }
 
-// TestBackoffOfOneTargetLeavesItAlone has one target turn a request away and ask for a
+// TestTargetInBackoffGetsNoRequests has one target turn a request away and ask for a
 // backoff: the request and all later ones go elsewhere. When both want one, callers are told
 // at once when to come back.
-func TestBackoffOfOneTargetLeavesItAlone(t *testing.T) {
+func TestTargetInBackoffGetsNoRequests(t *testing.T) {
 	var all atomic.Bool
 	wants := func(a *arrival, c net.Conn) bool {
-		return reply(c, 503, a.id(), "", "Not-Executed: 1", "Retry-After: 2.5")
+		return respond(c, 503, a.id(), "", "Not-Executed: 1", "Retry-After: 2.5")
 	}
 	busy := newTarget(t, "t1", wants)
 	other := newTarget(t, "t2", func(a *arrival, c net.Conn) bool {
 		if all.Load() {
 			return wants(a, c)
 		}
-		return answers(a, c)
+		return respondOK(a, c)
 	})
-	s := newSite(t, busy, other)
+	s := newTestServer(t, busy, other)
 	for i := range 40 {
-		assert.Equal(t, s.ask(t, "POST", "/once/", fmt.Sprint("r", i), "b").header.StatusCode(), 200)
+		assert.Equal(t, s.do(t, "POST", "/once/", fmt.Sprint("r", i), "b").header.StatusCode(), 200)
 	}
-	assert.Equal(t, len(busy.seen()), 1)
+	assert.Equal(t, len(busy.received()), 1)
 	all.Store(true)
 	for i := range 3 {
-		before := len(other.seen())
-		res := s.ask(t, "POST", "/once/", fmt.Sprint("s", i), "b")
+		before := len(other.received())
+		res := s.do(t, "POST", "/once/", fmt.Sprint("s", i), "b")
 		assert.Equal(t, res.header.StatusCode(), 503)
 		told, err := strconv.ParseFloat(string(res.header.Peek("Retry-After")), 64)
 		assert.NilError(t, err)
 		assert.Assert(t, told > 1 && told < 3.5, told)
-		assert.Equal(t, len(other.seen())-before, map[bool]int{true: 1}[i == 0])
+		assert.Equal(t, len(other.received())-before, map[bool]int{true: 1}[i == 0])
 	}
 }
--- /dev/null
+++ b/relay/overload.go
@@ -0,0 +1,50 @@
+package relay
+
+import (
+	"sync/atomic"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+)
+
+// overload decides whether this router has been overloaded for so long that the balancer should
+// send new callers to other routers. Refusals alone cannot relieve a host whose link is
+// saturated: the bytes of a request have arrived before it can be refused.
+type overload struct {
+	clock clockwork.Clock
+	// since is when the overload began, calmSince when it last ended; zero if it has not.
+	since, calmSince time.Time
+	active           atomic.Bool
+}
+
+const (
+	// overloadShare is the share of refused streams from which on a router is overloaded.
+	overloadShare = 0.5
+	// overloadDelay is how long a router has to be overloaded before it reports this,
+	// recoveryDelay how long it has to be without overload before it accepts callers again. The
+	// balancer checks each second and then sends a complete flood to the next host; the longer
+	// this router stays out, the more hosts share the flood, as callers keep the connections on
+	// which they are served.
+	overloadDelay = 500 * time.Millisecond
+	recoveryDelay = 8 * time.Second
+)
+
+// update takes the current share of refused streams, and reports whether the state changed.
+func (s *overload) update(part float64) (changed bool) {
+	now := s.clock.Now()
+	if part >= overloadShare {
+		s.calmSince = time.Time{}
+		if s.since.IsZero() {
+			s.since = now
+		}
+		return now.Sub(s.since) >= overloadDelay && s.active.CompareAndSwap(false, true)
+	}
+	s.since = time.Time{}
+	if s.calmSince.IsZero() {
+		s.calmSince = now
+	}
+	return now.Sub(s.calmSince) >= recoveryDelay && s.active.CompareAndSwap(true, false)
+}
+
+// Overloaded reports whether new callers should go to other routers.
+func (s *Server) Overloaded() bool { return s.overload.active.Load() }
--- /dev/null
+++ b/relay/overload_test.go
@@ -0,0 +1,32 @@
+package relay
+
+import (
+	"testing"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+	"gotest.tools/v3/assert"
+)
+
+func TestOverloadedRouterIsNotReadyForAWhile(t *testing.T) {
+	clock := clockwork.NewFakeClock()
+	s := &overload{clock: clock}
+	play := func(part float64, d time.Duration) (changes int) {
+		for range d / checkInterval {
+			clock.Advance(checkInterval)
+			if s.update(part) {
+				changes++
+			}
+		}
+		return changes
+	}
+	assert.Equal(t, play(1, overloadDelay-checkInterval), 0, "a short trouble is none")
+	assert.Equal(t, play(0.1, time.Second), 0)
+	assert.Equal(t, play(0.7, time.Second), 1)
+	assert.Assert(t, s.active.Load())
+	assert.Equal(t, play(0, recoveryDelay-2*checkInterval), 0, "it is not back at once")
+	play(1, checkInterval)
+	assert.Equal(t, play(0, recoveryDelay-2*checkInterval), 0, "nor after another moment of trouble")
+	assert.Equal(t, play(0, recoveryDelay), 1)
+	assert.Assert(t, !s.active.Load())
+}
--- a/relay/path_bench_test.go
+++ b/relay/path_bench_test.go
@@ -13,7 +13,7 @@
 // BenchmarkPath passes a call on to a plain target and its answer back, on connections
 // that are kept. Caller, router and target are one process: 104 us for all three.
 func BenchmarkPath(b *testing.B) {
-	s := newSite(b, newTarget(b, "t", answers))
+	s := newTestServer(b, newTarget(b, "t", respondOK))
 	s.options.Log = zerolog.New(io.Discard)
 	conn, err := net.Dial("tcp", s.Address().String())
 	if err != nil {
--- a/relay/regions_test.go
+++ b/relay/regions_test.go
@@ -11,26 +11,26 @@
 // TestRequestsBoundToRegionsRunNowhereElse has routes and a customer bound to a region that
 // no target is in: nothing may reach one, and the answer promises that nothing ran.
 func TestRequestsBoundToRegionsRunNowhereElse(t *testing.T) {
-	f := newTarget(t, "t", answers)
-	s := newSite(t, f)
-	bound := spec()
+	f := newTarget(t, "t", respondOK)
+	s := newTestServer(t, f)
+	bound := testSpec()
 	bound.Routes[0].Regions = []string{"west"}
 	s.set(newTable(t, bound))
 	refused := func(path string) {
 		t.Helper()
-		res := s.ask(t, "POST", path, "r-"+path, "the body")
+		res := s.do(t, "POST", path, "r-"+path, "the body")
 		assert.NilError(t, res.err)
 		assert.Equal(t, res.header.StatusCode(), 503)
 		assert.Equal(t, res.body, string(place.NotAllowed)+"\n")
 		assert.Assert(t, len(res.header.Peek("Retry-After")) > 0)
 	}
 	refused("/once/")
-	assert.Equal(t, s.ask(t, "POST", "/repeat/", "free", "the body").header.StatusCode(), 200)
-	ofCustomer := spec()
+	assert.Equal(t, s.do(t, "POST", "/repeat/", "free", "the body").header.StatusCode(), 200)
+	ofCustomer := testSpec()
 	ofCustomer.Customers[0].Regions = []string{"west"}
 	s.set(newTable(t, ofCustomer))
 	refused("/repeat/")
 	refused("/model/")
-	assert.Equal(t, s.ask(t, "POST", "/public/", "public", "the body").header.StatusCode(), 200, "public routes have no customer")
-	assert.Equal(t, len(f.seen()), 2)
+	assert.Equal(t, s.do(t, "POST", "/public/", "public", "the body").header.StatusCode(), 200, "public routes have no customer")
+	assert.Equal(t, len(f.received()), 2)
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,30 +1,29 @@
 // Package relay serves callers by passing their requests on to targets.
 //
-// The route of a request follows from its host and path; method, path, query
-// and body reach the target unchanged. Answers are passed on only when they
-// are the target's whole answer to that very request. Streams are passed on
-// event by event, and a stream that breaks is cut, so that it cannot look
-// complete.
+// The route of a request follows from its host and path. Method, path, query and body reach the
+// target unchanged. A response is passed on only if it is the target's complete response to
+// that very request. Streams are passed on event by event, and the caller's connection is cut
+// if a stream breaks, so that the stream cannot look complete.
 //
 // # Life of a request
 //
-//	fasthttp reads it            handle (relay.go)
-//	route, key, deadline         admit (admit.go)
-//	refusal of streams           throttle (throttle.go), by lag and slow connections
-//	targets ended under it       suspect (suspect.go), quarantine.List
-//	target, or refusal           place.Placer
-//	connection                   dial (connect.go), link.Pool
-//	send, read the answer's head attempt (attempt.go)
-//	another target, if allowed   next, nextAfterAnswer (flight.go)
-//	answer or events             passWhole, passStream (answer.go, stream.go)
-//	caller gone, time is up      look (look.go), which ends the attempt and
-//	                             measures the lag
-//	one log line for each step   log.go
+//	fasthttp reads it             handle (relay.go)
+//	route, key, deadline          admit (admit.go)
+//	refusal of streams            throttle (throttle.go), by lag and slow connections
+//	content that crashes targets  suspect (suspect.go), quarantine.List
+//	target, or refusal            place.Placer
+//	connection                    dial (connect.go), link.Pool
+//	send, read the response head  attempt (attempt.go)
+//	another target, if allowed    retryAfterFailure, retryAfterErrorResponse (flight.go)
+//	response or events            writeResponse, writeStream (response.go, stream.go)
+//	caller closed, timeout        monitor (monitor.go), which ends the attempt and
+//	                              measures the lag
+//	one log line for each step    log.go
 //
 // # Usage
 //
 //	s, err := relay.Listen(relay.Options{Address: addr, ...})
-//	defer s.Close() // the planned stop
+//	defer s.Close() // graceful shutdown
 package relay
 
 import (
@@ -53,16 +52,16 @@
 
 // View is the routing table in force.
 type View struct {
-	// Table is nil until one is known.
+	// Table is nil until a table is known.
 	Table *route.Table
-	// Fresh tells that no newer table can have been accepted some seconds ago,
-	// so that what the table lacks does not exist.
+	// Fresh reports that no newer table can have been accepted some seconds ago. What a fresh
+	// table lacks does not exist.
 	Fresh bool
-	// TargetsAge is the time since the store answered about the targets.
+	// TargetsAge is the time since the store last responded to a read of the targets.
 	TargetsAge time.Duration
 }
 
-// Options configure a server. All but Ask and Rollouts are required.
+// Options configure a server. All but Query and Rollouts are required.
 type Options struct {
 	Address netip.AddrPort
 	Clock   clockwork.Clock
@@ -72,35 +71,35 @@
 	View    func() View
 	Placer  *place.Placer
 	Links   *link.Pool
-	// Query asks the routers that answer for targets; it waits some milliseconds at most.
-	// Nil asks none.
+	// Query sends queries to the routers that own targets and waits for their replies for some
+	// milliseconds at most. If it is nil, no queries are sent.
 	Query   func([]place.Question) []place.Answer
 	Retries *request.Budget
-	// Quarantine knows the requests that end their targets.
+	// Quarantine holds the requests whose content ends the targets that run them.
 	Quarantine *quarantine.List
-	// Rollouts are the services that move to new versions; nil are none. OnVersionFailure is called
-	// when an answer spoke against a new version.
+	// Rollouts are the services that are moved to new versions; nil means none.
+	// OnVersionFailure is called when a response or a failure counts against a new version.
 	Rollouts         *rollout.Set
 	OnVersionFailure func()
 	Limits           Limits
 }
 
-// Limits bound what callers can take.
+// Limits bound the resources that callers can occupy.
 type Limits struct {
 	BodyBytes   int
 	HeaderBytes int
 	Connections int
-	// Memory is that of the process in bytes; 0 leaves it open.
+	// Memory is the memory limit of the process in bytes; 0 means no limit.
 	Memory int64
-	// WriteTimeout is how long a caller may take no bytes of its answer; 0 leaves it open.
+	// WriteTimeout is how long a caller may read no bytes of its response; 0 means no limit.
 	WriteTimeout time.Duration
-	// StopDelay is how long a planned stop goes on accepting all requests, until
-	// the balancer has noticed. Later ones are refused if they may not end in time.
+	// StopDelay is how long a graceful shutdown continues to accept all requests, until the
+	// balancer has noticed it. Later requests are refused if they may not end in time.
 	StopDelay time.Duration
-	// QuietPeriod is the time without a new request after which a planned stop expects
-	// no more.
+	// QuietPeriod is the time without a new request after which a graceful shutdown expects no
+	// more requests.
 	QuietPeriod time.Duration
-	// StopTimeout is the longest time of a planned stop.
+	// StopTimeout is the longest duration of a graceful shutdown.
 	StopTimeout time.Duration
 }
 
@@ -110,49 +109,48 @@
 	listener net.Listener
 	http     *fasthttp.Server
 	group    errgroup.Group
-	// stopped is when the planned stop began, nil before.
+	// stopped is when the graceful shutdown began, nil before.
 	stopped atomic.Pointer[time.Time]
 	stop    chan struct{}
 	pace    pace
 	lag     lag
-	// connects are the latest new connections to targets.
-	connects connects
-	large    *largeBodies
-	strain   strain
-	throttle throttle
+	// connectHistory holds the latest new connections to targets.
+	connectHistory connectHistory
+	large          *largeBodies
+	overload       overload
+	throttle       throttle
 
 	mu      sync.Mutex
 	flights map[*flight]struct{}
-	// last is when the last admitted request arrived.
-	last time.Time
+	// lastArrival is when the last admitted request arrived.
+	lastArrival time.Time
 }
 
 const (
-	// readTimeout bounds receiving a request; callers send theirs in one go.
+	// readTimeout bounds receiving a request; callers send a request without pauses.
 	readTimeout = 15 * time.Second
-	// idleTimeout is how long callers' connections may rest. It is longer than
-	// any limit of a table, so that no caller sends into a connection that is
-	// being closed.
+	// idleTimeout is how long callers' connections may be idle. It is longer than any limit of
+	// a table, so that no caller sends into a connection that is being closed.
 	idleTimeout = 75 * time.Second
 )
 
-// Listen starts to serve.
+// Listen opens the listener and starts to serve.
 func Listen(o Options) (*Server, error) {
-	// Callers that vanish are noticed by the time limits of their requests. Probes would
-	// cost four calls of the kernel for each connection, and a flood is a connection for
-	// each request.
+	// The timeouts of the requests detect callers that vanish, so the listener needs no
+	// keep-alive probes. Probes would cost four system calls for each connection, and a flood
+	// opens a connection for each request.
 	config := net.ListenConfig{KeepAlive: -1}
 	l, err := config.Listen(context.Background(), "tcp", o.Address.String())
 	if err != nil {
 		return nil, errs.Wrap(err, "listen for callers", o.Address.String())
 	}
-	s := &Server{options: o, listener: l, stop: make(chan struct{}), flights: make(map[*flight]struct{}), lag: lag{clock: o.Clock}, connects: connects{clock: o.Clock}, strain: strain{clock: o.Clock}, large: newLargeBodies(o.Limits.Memory, o.Limits.BodyBytes)}
+	s := &Server{options: o, listener: l, stop: make(chan struct{}), flights: make(map[*flight]struct{}), lag: lag{clock: o.Clock}, connectHistory: connectHistory{clock: o.Clock}, overload: overload{clock: o.Clock}, large: newLargeBodies(o.Limits.Memory, o.Limits.BodyBytes)}
 	s.http = &fasthttp.Server{
 		Handler:                      s.handle,
-		Concurrency:                  connections(o.Limits.Connections, o.Limits.Memory),
+		Concurrency:                  maxConnections(o.Limits.Connections, o.Limits.Memory),
 		ReadBufferSize:               o.Limits.HeaderBytes,
 		StreamRequestBody:            true,
-		MaxRequestBodySize:           usualBody,
+		MaxRequestBodySize:           maxBufferedBody,
 		ReadTimeout:                  readTimeout,
 		IdleTimeout:                  idleTimeout,
 		NoDefaultServerHeader:        true,
@@ -160,18 +158,18 @@
 		NoDefaultContentType:         true,
 		DisablePreParseMultipartForm: true,
 		CloseOnShutdown:              true,
-		Logger:                       silent{},
+		Logger:                       discardLogger{},
 	}
 	s.group.Go(s.serve)
-	s.group.Go(s.look)
+	s.group.Go(s.monitor)
 	return s, nil
 }
 
-// silent drops the lines that fasthttp would log for each broken connection.
-type silent struct{}
+// discardLogger drops the lines that fasthttp would log for each broken connection.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // serve accepts callers until the listener is closed.
 func (s *Server) serve() error {
@@ -196,7 +194,7 @@
 		r.write(ctx)
 		return
 	}
-	s.enter(f)
+	s.register(f)
 	if err := f.readBody(ctx); err != nil {
 		f.refuseBody(ctx, err)
 		return
@@ -204,34 +202,34 @@
 	f.serve(ctx)
 }
 
-// enter counts a request as running until leave.
-func (s *Server) enter(f *flight) {
+// register counts a request as running until unregister.
+func (s *Server) register(f *flight) {
 	s.options.Metrics.Inc(metric.RequestsReceived)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.flights[f] = struct{}{}
-	s.last = f.received
+	s.lastArrival = f.received
 }
 
-func (s *Server) leave(f *flight) {
+func (s *Server) unregister(f *flight) {
 	s.options.Metrics.Observe(metric.RequestTime, s.options.Clock.Since(f.received))
-	s.large.kept.Add(-f.reserved)
-	f.started()
+	s.large.reserved.Add(-f.reserved)
+	f.markDispatched()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.flights, f)
 }
 
-// Running returns the number of requests that are not answered yet.
+// Running returns the number of requests that have no complete response yet.
 func (s *Server) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.flights)
 }
 
-// Close makes the planned stop: callers are still served until the balancer
-// has noticed and nothing runs any more, at most for the stop limit. Answers
-// ask the callers to close their connections.
+// Close shuts the server down gracefully: it serves callers until the balancer has noticed and
+// no request runs any more, for StopTimeout at most. Responses ask the callers to close their
+// connections.
 func (s *Server) Close() error {
 	now := s.options.Clock.Now()
 	if !s.stopped.CompareAndSwap(nil, &now) {
@@ -239,13 +237,13 @@
 	}
 	s.drain(now)
 	close(s.stop)
-	for _, f := range s.running() {
-		f.interrupt(stopped)
+	for _, f := range s.inFlight() {
+		f.interrupt(causeStopped)
 	}
 	err := s.listener.Close()
-	ctx, cancel := context.WithTimeout(context.Background(), closeIdle)
+	ctx, cancel := context.WithTimeout(context.Background(), closeIdleTimeout)
 	defer cancel()
-	_ = s.http.ShutdownWithContext(ctx) // idle callers may outlast it
+	_ = s.http.ShutdownWithContext(ctx) // idle connections may outlast the timeout
 	if gerr := s.group.Wait(); err == nil {
 		err = gerr
 	}
@@ -253,32 +251,31 @@
 }
 
 const (
-	// closeIdle bounds closing the callers' idle connections.
-	closeIdle = 100 * time.Millisecond
-	// drainPeriod is the time between looks at what still runs.
-	drainPeriod = 20 * time.Millisecond
+	// closeIdleTimeout bounds closing the callers' idle connections.
+	closeIdleTimeout = 100 * time.Millisecond
+	// drainCheckInterval is the time between checks for running requests during a shutdown.
+	drainCheckInterval = 20 * time.Millisecond
 )
 
-// drain waits until nothing runs and nothing more is expected, or until the
-// stop limit.
+// drain waits until no request runs and no more are expected, or until StopTimeout.
 func (s *Server) drain(began time.Time) {
 	clock := s.options.Clock
 	for {
-		clock.Sleep(drainPeriod)
+		clock.Sleep(drainCheckInterval)
 		now := clock.Now()
 		if now.Sub(began) >= s.options.Limits.StopTimeout {
-			s.options.Log.Warn().Int("running", s.Running()).Msg("stop limit reached, cutting the requests that still run")
+			s.options.Log.Warn().Int("running", s.Running()).Msg("stop timeout reached; cutting the requests that still run")
 			return
 		}
-		if now.Sub(began) >= s.options.Limits.StopDelay+s.options.Limits.QuietPeriod && s.resting(now) {
+		if now.Sub(began) >= s.options.Limits.StopDelay+s.options.Limits.QuietPeriod && s.idle(now) {
 			return
 		}
 	}
 }
 
-// resting reports whether nothing runs and nothing arrived lately.
-func (s *Server) resting(now time.Time) bool {
+// idle reports whether no request runs and none has arrived within the quiet period.
+func (s *Server) idle(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.flights) == 0 && now.Sub(s.last) >= s.options.Limits.QuietPeriod
+	return len(s.flights) == 0 && now.Sub(s.lastArrival) >= s.options.Limits.QuietPeriod
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -20,15 +20,15 @@
 )
 
 func TestRequestReachesTheTargetUnchanged(t *testing.T) {
-	f := newTarget(t, "t", answers)
-	s := newSite(t, f)
-	res := s.ask(t, "POST", "/once/a%2Fb?x=1&y=%20", "r1", "the body",
+	f := newTarget(t, "t", respondOK)
+	s := newTestServer(t, f)
+	res := s.do(t, "POST", "/once/a%2Fb?x=1&y=%20", "r1", "the body",
 		"Tenant: forged", "Expect-Instance: forged", "X-Own: kept", "Connection: X-Hop", "X-Hop: dropped")
 	assert.NilError(t, res.err)
 	assert.Equal(t, res.header.StatusCode(), 200)
 	assert.Equal(t, res.body, "answer")
 	assert.Equal(t, string(res.header.Peek("Response-Seal")), "s")
-	a := f.seen()[0]
+	a := f.received()[0]
 	assert.Equal(t, string(a.header.Method()), "POST")
 	assert.Equal(t, string(a.header.RequestURI()), "/once/a%2Fb?x=1&y=%20")
 	assert.Equal(t, string(a.body), "the body")
@@ -43,7 +43,7 @@
 }
 
 func TestRefusalsBeforeATarget(t *testing.T) {
-	s := newSite(t, newTarget(t, "t", answers))
+	s := newTestServer(t, newTarget(t, "t", respondOK))
 	tests := []struct {
 		name, path, key string
 		fresh           bool
@@ -66,7 +66,7 @@
 		})
 	}
 	s.set(nil)
-	res := s.ask(t, "GET", "/once/", "r", "")
+	res := s.do(t, "GET", "/once/", "r", "")
 	assert.Equal(t, res.header.StatusCode(), 503)
 	assert.Assert(t, len(res.header.Peek("Retry-After")) > 0)
 }
@@ -75,34 +75,34 @@
 	var calls atomic.Int32
 	serve := func(a *arrival, c net.Conn) bool {
 		if calls.Add(1) == 1 {
-			return reply(c, 503, a.id(), "full", "Not-Executed: 1")
+			return respond(c, 503, a.id(), "full", "Not-Executed: 1")
 		}
-		return answers(a, c)
+		return respondOK(a, c)
 	}
-	s := newSite(t, newTarget(t, "t1", serve), newTarget(t, "t2", serve))
-	assert.Equal(t, s.ask(t, "POST", "/once/", "r", "b").header.StatusCode(), 200)
+	s := newTestServer(t, newTarget(t, "t1", serve), newTarget(t, "t2", serve))
+	assert.Equal(t, s.do(t, "POST", "/once/", "r", "b").header.StatusCode(), 200)
 	assert.Equal(t, calls.Load(), int32(2))
 }
 
-// TestReplacedTargetIsLeftAlone has another run of a target answer at its
+// TestReplacedTargetGetsNoMoreRequests has another run of a target answer at its
 // address. The request goes on elsewhere although its route allows one attempt,
 // and later ones do not go there again.
-func TestReplacedTargetIsLeftAlone(t *testing.T) {
-	replaced := newTarget(t, "t1", func(_ *arrival, c net.Conn) bool { return reply(c, 421, "", "") })
-	s := newSite(t, replaced, newTarget(t, "t2", answers))
-	one := spec()
+func TestReplacedTargetGetsNoMoreRequests(t *testing.T) {
+	replaced := newTarget(t, "t1", func(_ *arrival, c net.Conn) bool { return respond(c, 421, "", "") })
+	s := newTestServer(t, replaced, newTarget(t, "t2", respondOK))
+	one := testSpec()
 	for _, r := range one.Routes {
 		r.MaxAttempts = 1
 	}
 	s.set(newTable(t, one))
 	for i := range 20 {
-		assert.Equal(t, s.ask(t, "POST", "/once/", fmt.Sprint("r", i), "b").header.StatusCode(), 200)
+		assert.Equal(t, s.do(t, "POST", "/once/", fmt.Sprint("r", i), "b").header.StatusCode(), 200)
 	}
-	assert.Assert(t, len(replaced.seen()) <= 1, "%d requests", len(replaced.seen()))
+	assert.Assert(t, len(replaced.received()) <= 1, "%d requests", len(replaced.received()))
 }
 
 // outcomes are answers of a target and what the caller is told.
-func TestOutcomesAreTold(t *testing.T) {
+func TestStatusOfFailedRequests(t *testing.T) {
 	tests := []struct {
 		name  string
 		path  string
@@ -110,12 +110,12 @@
 		want  int
 		tries int
 	}{
-		{"not run by any", "/once/", func(a *arrival, c net.Conn) bool { return reply(c, 503, a.id(), "", "Not-Executed: 1") }, 503, 2},
-		{"other instance", "/once/", func(_ *arrival, c net.Conn) bool { return reply(c, 421, "", "") }, 503, 2},
-		{"full without a promise", "/once/", func(a *arrival, c net.Conn) bool { return reply(c, 503, a.id(), "") }, 502, 1},
-		{"too many without a promise", "/once/", func(a *arrival, c net.Conn) bool { return reply(c, 429, a.id(), "") }, 502, 1},
-		{"unsigned", "/once/", func(a *arrival, c net.Conn) bool { return reply(c, 200, a.id(), "x") }, 502, 1},
-		{"crossed", "/once/", func(_ *arrival, c net.Conn) bool { return reply(c, 200, "other", "x", seal) }, 502, 1},
+		{"not run by any", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 503, a.id(), "", "Not-Executed: 1") }, 503, 2},
+		{"other instance", "/once/", func(_ *arrival, c net.Conn) bool { return respond(c, 421, "", "") }, 503, 2},
+		{"full without a promise", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 503, a.id(), "") }, 502, 1},
+		{"too many without a promise", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 429, a.id(), "") }, 502, 1},
+		{"unsigned", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 200, a.id(), "x") }, 502, 1},
+		{"crossed", "/once/", func(_ *arrival, c net.Conn) bool { return respond(c, 200, "other", "x", seal) }, 502, 1},
 		{"closed", "/once/", func(*arrival, net.Conn) bool { return false }, 502, 1},
 		{"closed, repeatable", "/repeat/", func(*arrival, net.Conn) bool { return false }, 502, 2},
 		{"cut body", "/once/", func(a *arrival, c net.Conn) bool {
@@ -123,18 +123,18 @@
 			return false
 		}, 502, 1},
 		{"not an answer", "/once/", func(_ *arrival, c net.Conn) bool { fmt.Fprint(c, "rubbish\r\n\r\n"); return false }, 502, 1},
-		{"own failure", "/once/", func(a *arrival, c net.Conn) bool { return reply(c, 500, a.id(), "bad", seal) }, 500, 1},
-		{"own failure, repeatable", "/repeat/", func(a *arrival, c net.Conn) bool { return reply(c, 500, a.id(), "bad", seal) }, 500, 2},
-		{"stream fails", "/model/", func(a *arrival, c net.Conn) bool { return reply(c, 500, a.id(), "bad", seal) }, 500, 1},
+		{"own failure", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 500, a.id(), "bad", seal) }, 500, 1},
+		{"own failure, repeatable", "/repeat/", func(a *arrival, c net.Conn) bool { return respond(c, 500, a.id(), "bad", seal) }, 500, 2},
+		{"stream fails", "/model/", func(a *arrival, c net.Conn) bool { return respond(c, 500, a.id(), "bad", seal) }, 500, 1},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			f1, f2 := newTarget(t, "t1", tc.serve), newTarget(t, "t2", tc.serve)
-			s := newSite(t, f1, f2)
-			res := s.ask(t, "POST", tc.path, "r", "b")
+			s := newTestServer(t, f1, f2)
+			res := s.do(t, "POST", tc.path, "r", "b")
 			assert.NilError(t, res.err)
 			assert.Equal(t, res.header.StatusCode(), tc.want)
-			assert.Equal(t, len(f1.seen())+len(f2.seen()), tc.tries)
+			assert.Equal(t, len(f1.received())+len(f2.received()), tc.tries)
 			promise := tc.want == 503
 			assert.Equal(t, len(res.header.Peek("Retry-After")) > 0, promise)
 			signed := tc.want == 500
@@ -144,66 +144,66 @@
 }
 
 func TestUnreachableTargetsAreNotRun(t *testing.T) {
-	f := newTarget(t, "t", answers)
+	f := newTarget(t, "t", respondOK)
 	f.listener.Close()
-	s := newSite(t, f)
-	res := s.ask(t, "POST", "/once/", "r", "b")
+	s := newTestServer(t, f)
+	res := s.do(t, "POST", "/once/", "r", "b")
 	assert.Equal(t, res.header.StatusCode(), 503)
 	assert.Assert(t, len(res.header.Peek("Retry-After")) > 0)
 }
 
 func TestUnreachableTargetIsFollowedByAnother(t *testing.T) {
-	dead, alive := newTarget(t, "t1", answers), newTarget(t, "t2", answers)
+	dead, alive := newTarget(t, "t1", respondOK), newTarget(t, "t2", respondOK)
 	dead.listener.Close()
-	s := newSite(t, dead, alive)
-	one := spec()
+	s := newTestServer(t, dead, alive)
+	one := testSpec()
 	for _, r := range one.Routes {
 		r.MaxAttempts = 1
 	}
 	s.set(newTable(t, one))
 	for range 8 {
-		assert.Equal(t, s.ask(t, "POST", "/once/", "r", "b").header.StatusCode(), 200)
+		assert.Equal(t, s.do(t, "POST", "/once/", "r", "b").header.StatusCode(), 200)
 	}
 }
 
 // TestTargetThatLeavesBeforeTheRequestIsSentGetsNothing has the store say that a target
 // leaves while the router connects to it.
 func TestTargetThatLeavesBeforeTheRequestIsSentGetsNothing(t *testing.T) {
-	assertNothingSentAfter(t, (*site).leave)
+	assertNothingSentAfter(t, (*testServer).drain)
 }
 
 // assertNothingSentAfter has something happen to the first target that a request was placed
 // at, while the router connects to it, and holds that only the other one gets the request.
-func assertNothingSentAfter(t *testing.T, happens func(*site, netip.AddrPort)) {
+func assertNothingSentAfter(t *testing.T, happens func(*testServer, netip.AddrPort)) {
 	t.Helper()
-	targets := []*fakeTarget{newTarget(t, "t1", answers), newTarget(t, "t2", answers)}
-	var s *site
+	targets := []*fakeTarget{newTarget(t, "t1", respondOK), newTarget(t, "t2", respondOK)}
+	var s *testServer
 	var first netip.AddrPort
-	s = newSiteDialling(t, func(to netip.AddrPort, _ time.Duration) (net.Conn, error) {
+	s = newTestServerDialling(t, func(to netip.AddrPort, _ time.Duration) (net.Conn, error) {
 		if !first.IsValid() {
 			first = to
 			happens(s, to)
 		}
 		return net.Dial("tcp", to.String())
 	}, targets...)
-	assert.Equal(t, s.ask(t, "POST", "/once/", "r", "b").header.StatusCode(), 200)
+	assert.Equal(t, s.do(t, "POST", "/once/", "r", "b").header.StatusCode(), 200)
 	for _, f := range targets {
 		want := 1
 		if f.listener.Addr().String() == first.String() {
 			want = 0
 		}
-		assert.Equal(t, len(f.seen()), want)
+		assert.Equal(t, len(f.received()), want)
 	}
 }
 
-func TestLateAnswerOfAnotherRequestIsReadOver(t *testing.T) {
+func TestLateResponseToAnotherRequestIsDiscarded(t *testing.T) {
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
 		if a.id() == "r2" {
-			reply(c, 200, "r1", "late", seal)
+			respond(c, 200, "r1", "late", seal)
 		}
-		return reply(c, 200, a.id(), "for "+a.id(), seal)
+		return respond(c, 200, a.id(), "for "+a.id(), seal)
 	})
-	s := newSite(t, f)
+	s := newTestServer(t, f)
 	c := s.dial(t)
 	for _, id := range []string{"r1", "r2", "r3"} {
 		c.send("POST", "/repeat/", id, "b")
@@ -211,17 +211,17 @@
 	}
 }
 
-func TestBytesBehindAnAnswerEndTheConnection(t *testing.T) {
+func TestBytesAfterResponseCloseConnection(t *testing.T) {
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
 		// In one piece, so that both arrive together.
 		fmt.Fprint(c, text(200, a.id(), "for "+a.id(), seal)+text(200, "r1", "extra", seal))
 		return true
 	})
-	s := newSite(t, f)
+	s := newTestServer(t, f)
 	for _, id := range []string{"r1", "r2"} {
-		assert.Equal(t, s.ask(t, "POST", "/repeat/", id, "b").body, "for "+id)
+		assert.Equal(t, s.do(t, "POST", "/repeat/", id, "b").body, "for "+id)
 	}
-	eventually(t, "connections with extra bytes are closed", func() bool { return f.hungUp() >= 1 })
+	eventually(t, "connections with extra bytes are closed", func() bool { return f.closedConns() >= 1 })
 }
 
 func TestAnswerThatEndsWithItsConnection(t *testing.T) {
@@ -233,9 +233,9 @@
 		}
 		return false
 	})
-	s := newSite(t, f)
-	assert.Equal(t, s.ask(t, "POST", "/once/", "whole", "b").body, "until the end")
-	assert.Equal(t, s.ask(t, "POST", "/once/", "reset", "b").header.StatusCode(), 502)
+	s := newTestServer(t, f)
+	assert.Equal(t, s.do(t, "POST", "/once/", "whole", "b").body, "until the end")
+	assert.Equal(t, s.do(t, "POST", "/once/", "reset", "b").header.StatusCode(), 502)
 }
 
 func TestTargetThatAnswersBeforeItReadsALongBody(t *testing.T) {
@@ -248,13 +248,13 @@
 			return err
 		}
 		defer c.Close()
-		reply(c, 413, "r", "too long", seal)
+		respond(c, 413, "r", "too long", seal)
 		time.Sleep(300 * time.Millisecond)
 		return nil
 	})
 	f := &fakeTarget{id: "t", listener: l}
-	s := newSite(t, f)
-	res := s.ask(t, "POST", "/once/", "r", strings.Repeat("x", 900_000))
+	s := newTestServer(t, f)
+	res := s.do(t, "POST", "/once/", "r", strings.Repeat("x", 900_000))
 	assert.Equal(t, res.header.StatusCode(), 413)
 	assert.NilError(t, g.Wait())
 	l.Close()
@@ -270,7 +270,7 @@
 		}
 		return endStream(c)
 	})
-	s := newSite(t, f)
+	s := newTestServer(t, f)
 	c := s.dial(t)
 	c.send("POST", "/model/", "r", "b")
 	var res result
@@ -295,10 +295,10 @@
 		event(c, 0)
 		return false
 	})
-	s := newSite(t, f)
-	res := s.ask(t, "POST", "/model/", "r", "b")
+	s := newTestServer(t, f)
+	res := s.do(t, "POST", "/model/", "r", "b")
 	assert.Assert(t, cmp.ErrorContains(res.err, ""))
-	assert.Equal(t, len(f.seen()), 1, "a stream that may not be repeated is sent once")
+	assert.Equal(t, len(f.received()), 1, "a stream that may not be repeated is sent once")
 }
 
 func TestResumableStreamGoesOnAtAnotherTarget(t *testing.T) {
@@ -317,8 +317,8 @@
 		event(c, 2)
 		return endStream(c)
 	}
-	s := newSite(t, newTarget(t, "t1", serve), newTarget(t, "t2", serve))
-	res := s.ask(t, "POST", "/resume/", "r", "b")
+	s := newTestServer(t, newTarget(t, "t1", serve), newTarget(t, "t2", serve))
+	res := s.do(t, "POST", "/resume/", "r", "b")
 	assert.NilError(t, res.err)
 	var want strings.Builder
 	for i := range 3 {
@@ -328,19 +328,19 @@
 	assert.Equal(t, calls.Load(), int32(2))
 }
 
-// TestOwnFailureAfterTheDeadlineIsPassedOn is the case of a router that ended
+// TestErrorResponseAfterDeadlineIsPassedOn is the case of a router that ended
 // by a panic: a repeatable request failed when its time was already up.
-func TestOwnFailureAfterTheDeadlineIsPassedOn(t *testing.T) {
+func TestErrorResponseAfterDeadlineIsPassedOn(t *testing.T) {
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
 		time.Sleep(30 * time.Millisecond)
-		return reply(c, 500, a.id(), "bad", seal)
+		return respond(c, 500, a.id(), "bad", seal)
 	})
-	s := newSite(t, f)
+	s := newTestServer(t, f)
 	c := s.dial(t)
 	fmt.Fprintf(c, "GET /repeat/ HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\nRequest-Deadline: 20\r\nAuthorization: Bearer %s\r\n\r\n", customerKey)
 	status := c.read().header.StatusCode()
 	assert.Assert(t, status == 500 || status == 504, status)
-	assert.Equal(t, s.ask(t, "GET", "/public/", "r2", "").header.StatusCode(), 500, "the server still serves")
+	assert.Equal(t, s.do(t, "GET", "/public/", "r2", "").header.StatusCode(), 500, "the server still serves")
 }
 
 func TestCallerThatLeavesEndsTheWork(t *testing.T) {
@@ -356,7 +356,7 @@
 				c.Read(make([]byte, 1))
 				return false
 			})
-			s := newSite(t, f)
+			s := newTestServer(t, f)
 			c := s.dial(t)
 			c.send("POST", path, "r", "b")
 			<-began
@@ -370,12 +370,12 @@
 
 func TestTimeLimitIsHeldTo(t *testing.T) {
 	f := newTarget(t, "t", func(_ *arrival, c net.Conn) bool { c.Read(make([]byte, 1)); return false })
-	s := newSite(t, f)
+	s := newTestServer(t, f)
 	c := s.dial(t)
 	fmt.Fprintf(c, "POST /once/ HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\nAuthorization: Bearer %s\r\nContent-Length: 0\r\n\r\n", customerKey)
-	eventually(t, "the request runs", func() bool { return len(f.seen()) == 1 })
+	eventually(t, "the request runs", func() bool { return len(f.received()) == 1 })
 	// A new configuration shortens the limit of the request that runs.
-	short := spec()
+	short := testSpec()
 	for _, r := range short.Routes {
 		r.Timeout = 200 * time.Millisecond
 	}
@@ -390,12 +390,12 @@
 	release := make(chan struct{})
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
 		<-release
-		return answers(a, c)
+		return respondOK(a, c)
 	})
-	s := newSite(t, f)
+	s := newTestServer(t, f)
 	running, waiting := s.dial(t), s.dial(t)
 	running.send("POST", "/once/", "r", "b")
-	eventually(t, "the request runs", func() bool { return len(f.seen()) == 1 })
+	eventually(t, "the request runs", func() bool { return len(f.received()) == 1 })
 	// A connection that is open already is still served during the stop.
 	waiting.send("GET", "/none/", "r2", "")
 	assert.Equal(t, waiting.read().header.StatusCode(), 404)
@@ -422,14 +422,14 @@
 	}
 	assert.Assert(t, s.endsInTime(flight(0, route.Stream, 5000)), "no stop")
 	s.stopped.Store(&began)
-	s.pace.learn(&message.RequestInfo{MaxTokens: 100}, 100*time.Millisecond)
+	s.pace.record(&message.RequestInfo{MaxTokens: 100}, 100*time.Millisecond)
 	assert.Assert(t, s.endsInTime(flight(time.Second, route.Stream, 5000)), "the balancer has not noticed")
 	assert.Assert(t, s.endsInTime(flight(3*time.Second, route.Stream, 70)))
 	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Stream, 90)))
 	assert.Assert(t, !s.endsInTime(flight(5*time.Second, route.Stream, 70)))
 	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Stream, 0)), "no bound is known")
 	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Once, 0)))
-	s.pace.learn(&message.RequestInfo{MaxTokens: 100}, 5*time.Second)
+	s.pace.record(&message.RequestInfo{MaxTokens: 100}, 5*time.Second)
 	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Stream, 70)), "streams are slower than that")
 	short := flight(3*time.Second, route.Once, 0)
 	short.call.Deadline = time.Second
@@ -443,41 +443,41 @@
 			c.Read(make([]byte, 1))
 			return false
 		}
-		return answers(a, c)
+		return respondOK(a, c)
 	}
-	s := newSite(t, newTarget(t, "t1", serve), newTarget(t, "t2", serve))
+	s := newTestServer(t, newTarget(t, "t1", serve), newTarget(t, "t2", serve))
 	sent := time.Now()
-	assert.Equal(t, s.ask(t, "POST", "/repeat/", "r", "b").body, "answer")
+	assert.Equal(t, s.do(t, "POST", "/repeat/", "r", "b").body, "answer")
 	assert.Assert(t, time.Since(sent) < time.Second)
 	assert.Equal(t, calls.Load(), int32(2))
 }
 
-// TestCallersThatLeaveDoNotSpeakAgainstTheTarget held a fault that a reader
+// TestClosedCallersDoNotCountAgainstTarget held a fault that a reader
 // found: attempts ended from outside were counted as failures of the target.
-func TestCallersThatLeaveDoNotSpeakAgainstTheTarget(t *testing.T) {
+func TestClosedCallersDoNotCountAgainstTarget(t *testing.T) {
 	serve := func(a *arrival, c net.Conn) bool {
 		if a.id() == "leaves" {
 			c.Read(make([]byte, 1))
 			return false
 		}
-		return answers(a, c)
+		return respondOK(a, c)
 	}
 	stays, other := newTarget(t, "t1", serve), newTarget(t, "t2", serve)
-	s := newSite(t, stays, other)
+	s := newTestServer(t, stays, other)
 	for range 6 {
-		before := len(stays.seen()) + len(other.seen())
+		before := len(stays.received()) + len(other.received())
 		c := s.dial(t)
 		c.send("POST", "/once/", "leaves", "b")
-		eventually(t, "the request runs", func() bool { return len(stays.seen())+len(other.seen()) > before })
+		eventually(t, "the request runs", func() bool { return len(stays.received())+len(other.received()) > before })
 		c.Close()
 		eventually(t, "nothing runs", func() bool { return s.Running() == 0 })
 	}
-	used := len(stays.seen())
+	used := len(stays.received())
 	const asked = 40
 	for range asked {
-		assert.Equal(t, s.ask(t, "POST", "/once/", "stays", "b").header.StatusCode(), 200)
+		assert.Equal(t, s.do(t, "POST", "/once/", "stays", "b").header.StatusCode(), 200)
 	}
-	got := len(stays.seen()) - used
+	got := len(stays.received()) - used
 	assert.Assert(t, got > 0 && got < asked, "both targets are used: %d of %d", got, asked)
 }
 
@@ -492,13 +492,13 @@
 // TestRequestWhoseTimeIsUpIsNotSent has the router stand still while it connects, as it does
 // when its host is suspended: no timer fired, and the caller has given up.
 func TestRequestWhoseTimeIsUpIsNotSent(t *testing.T) {
-	f := newTarget(t, "t", answers)
-	s := newSiteDialling(t, func(to netip.AddrPort, _ time.Duration) (net.Conn, error) {
+	f := newTarget(t, "t", respondOK)
+	s := newTestServerDialling(t, func(to netip.AddrPort, _ time.Duration) (net.Conn, error) {
 		time.Sleep(40 * time.Millisecond)
 		return net.Dial("tcp", to.String())
 	}, f)
 	c := s.dial(t)
 	fmt.Fprintf(c, "GET /repeat/ HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\nRequest-Deadline: 20\r\nAuthorization: Bearer %s\r\n\r\n", customerKey)
 	assert.Equal(t, c.read().header.StatusCode(), 503)
-	assert.Equal(t, len(f.seen()), 0)
+	assert.Equal(t, len(f.received()), 0)
 }
--- a/relay/shed.go
+++ b/relay/shed.go
@@ -1,9 +1,9 @@
 package relay
 
-// excess is the part of streams that this router cannot carry in time: by its lag, or by
-// how long connecting takes.
-func (s *Server) excess() float64 { return max(s.lag.excess(), s.connects.excess()) }
+// excess returns the share of streams that this router cannot serve in time, estimated from its
+// lag and from the duration of connecting.
+func (s *Server) excess() float64 { return max(s.lag.excess(), s.connectHistory.excess()) }
 
-// troubled reports whether this router is behind or connects slowly to most targets,
-// so that times say nothing of a target.
-func (s *Server) troubled() bool { return s.lag.excess() > 0 || s.connects.troubled() }
+// impaired reports whether this router is behind or connects slowly to most targets, so that
+// durations are no evidence about a target.
+func (s *Server) impaired() bool { return s.lag.excess() > 0 || s.connectHistory.impaired() }
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -8,33 +8,34 @@
 	"zinccove.example/zinccove/metric"
 )
 
-// A caller that takes no bytes holds a connection, a target's slot and what was read for it.
-// Nothing more is read for it meanwhile, and after Limits.WriteTimeout it is cut off, so that callers
-// that do not read cannot take all connections of a host for good.
+// A caller that reads no bytes occupies a connection, a slot of a target and buffer memory.
+// No more is read for it meanwhile, and its connection is closed after Limits.WriteTimeout, so that
+// callers that do not read cannot occupy all connections of a host permanently.
 
-// untaken is since when something that was handed over waits to be taken.
-type untaken struct{ since atomic.Int64 }
+// stallTimer measures how long bytes that were passed on have waited for the caller to read
+// them.
+type stallTimer struct{ since atomic.Int64 }
 
-func (u *untaken) begin(now time.Time) { u.since.Store(now.UnixNano()) }
+func (u *stallTimer) begin(now time.Time) { u.since.Store(now.UnixNano()) }
 
-func (u *untaken) clear() { u.since.Store(0) }
+func (u *stallTimer) clear() { u.since.Store(0) }
 
-// lasts reports whether something has waited for at least d.
-func (u *untaken) lasts(d time.Duration, now time.Time) bool {
+// exceeds reports whether the bytes have waited for at least d.
+func (u *stallTimer) exceeds(d time.Duration, now time.Time) bool {
 	since := u.since.Load()
 	return since != 0 && d > 0 && now.UnixNano()-since >= int64(d)
 }
 
-// cutStalled ends a request whose caller takes nothing of its stream. Closing the
-// connection wakes the write that waits for the caller.
-func (f *flight) cutStalled() {
-	f.interrupt(callerStalled)
-	f.conn.Close() //nolint:errcheck // the caller takes nothing
+// closeStalled ends a request whose caller reads nothing of its stream. Closing the connection
+// unblocks the write that waits for the caller.
+func (f *flight) closeStalled() {
+	f.interrupt(causeCallerStalled)
+	f.conn.Close() //nolint:errcheck // the caller reads nothing
 	f.server.options.Metrics.Inc(metric.CallersStalled)
 }
 
-// boundWrite bounds the time for which a caller may take an answer that is kept whole.
-func (f *flight) boundWrite() {
+// setWriteDeadline bounds the time in which a caller may read a buffered response.
+func (f *flight) setWriteDeadline() {
 	limit := f.server.options.Limits.WriteTimeout
 	if limit <= 0 {
 		return
@@ -45,8 +46,8 @@
 	}
 }
 
-// unboundWrite lifts the bound that an earlier answer on the connection left.
-func (f *flight) unboundWrite() {
+// clearWriteDeadline removes the deadline that an earlier response on the connection left.
+func (f *flight) clearWriteDeadline() {
 	if f.server.options.Limits.WriteTimeout <= 0 {
 		return
 	}
--- a/relay/stall_test.go
+++ b/relay/stall_test.go
@@ -53,7 +53,7 @@
 	for _, chunked := range []bool{false, true} {
 		var written atomic.Int64
 		f := newTarget(t, "t", func(a *arrival, c net.Conn) bool { return writeLarge(a, c, passedBytes, &written, chunked) })
-		s := newSite(t, f)
+		s := newTestServer(t, f)
 		c := s.dial(t)
 		for i := range 2 {
 			c.send("POST", "/repeat/", fmt.Sprint("r", i), "b")
@@ -68,28 +68,28 @@
 // TestLargeAnswersThatBreakDoNotLookComplete has a target break off in the middle.
 func TestLargeAnswersThatBreakDoNotLookComplete(t *testing.T) {
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\nContent-Length: %d\r\n\r\n%s", a.id(), seal, largeBytes, strings.Repeat("x", 2*inMemory))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\nContent-Length: %d\r\n\r\n%s", a.id(), seal, largeBytes, strings.Repeat("x", 2*maxBufferedResponse))
 		return false
 	})
-	s := newSite(t, f)
-	res := s.ask(t, "POST", "/repeat/", "r", "b")
+	s := newTestServer(t, f)
+	res := s.do(t, "POST", "/repeat/", "r", "b")
 	assert.Assert(t, res.err != nil)
-	assert.Equal(t, len(f.seen()), 1, "what was begun is not sent again")
+	assert.Equal(t, len(f.received()), 1, "what was begun is not sent again")
 }
 
-// TestCallersThatTakeNothingHoldLittle has callers that ask for large answers and read
+// TestStalledCallersOccupyLittleMemory has callers that ask for large answers and read
 // nothing: what is kept for them is bounded, and after the stall time they are cut off.
-func TestCallersThatTakeNothingHoldLittle(t *testing.T) {
+func TestStalledCallersOccupyLittleMemory(t *testing.T) {
 	var written atomic.Int64
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool { return writeLarge(a, c, largeBytes, &written, false) })
-	s := newSite(t, f)
+	s := newTestServer(t, f)
 	before := heapBytes()
 	callers := make([]*caller, stalled)
 	for i := range callers {
 		callers[i] = s.dial(t)
 		callers[i].send("POST", "/once/", fmt.Sprint("r", i), "b")
 	}
-	eventually(t, "all are on their way", func() bool { return len(f.seen()) == stalled })
+	eventually(t, "all are on their way", func() bool { return len(f.received()) == stalled })
 	time.Sleep(stallTime / 2)
 	const most = stalled * 2 * connectionBytes // this process also has the other ends
 	kept := heapBytes() - before
@@ -101,17 +101,17 @@
 	}
 }
 
-// TestStalledCallersAreCutAfterTheirTime has the deadline of a caller that takes nothing end
+// TestStalledCallersAreClosedAfterDeadline has the deadline of a caller that takes nothing end
 // before the stall time.
-func TestStalledCallersAreCutAfterTheirTime(t *testing.T) {
+func TestStalledCallersAreClosedAfterDeadline(t *testing.T) {
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
 		var written atomic.Int64
 		return writeLarge(a, c, largeBytes, &written, false)
 	})
-	s := newSite(t, f)
+	s := newTestServer(t, f)
 	c := s.dial(t)
 	fmt.Fprintf(c, "GET /once/ HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\nRequest-Deadline: 50\r\nAuthorization: Bearer %s\r\n\r\n", customerKey)
-	eventually(t, "it is on its way", func() bool { return len(f.seen()) == 1 })
+	eventually(t, "it is on its way", func() bool { return len(f.received()) == 1 })
 	eventually(t, "it is cut off", func() bool { return s.Running() == 0 })
 }
 
@@ -122,7 +122,7 @@
 		var written atomic.Int64
 		return writeLarge(a, c, largeBytes, &written, false)
 	})
-	s := newSite(t, f)
+	s := newTestServer(t, f)
 	c := s.dial(t)
 	c.send("POST", "/once/", "r", "b")
 	read := 0
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -14,30 +14,29 @@
 	"zinccove.example/zinccove/target"
 )
 
-// stream reads a target's events for a caller. Only whole events are handed
-// over, so that a stream that goes on at another target joins without a gap.
-// A large answer without events is handed over as it comes, and never goes on elsewhere.
-// One goroutine uses it; look reads handed.
+// stream passes a target's events on to a caller. Only complete events are passed on, so that a
+// stream that is resumed at another target continues without a gap. A large response without
+// events is passed on as it arrives and is never resumed. One goroutine uses it.
 type stream struct {
 	flight *flight
 	caller *fasthttp.RequestCtx
 	link   *link.Conn
-	answer *answer
+	answer *response
 	body   *body
-	sent   *sending
-	// large tells that the answer has no events, size is its length, -1 if that is unknown.
+	sent   *sendState
+	// large reports that the response has no events; size is its length, -1 if that is unknown.
 	large bool
 	size  int
 
 	buffer []byte
-	// ready is the length of the whole events at the start of buffer.
+	// ready is the length of the complete events at the start of buffer.
 	ready int
-	// lastEvent is the id of the last event that was handed over.
+	// lastEvent is the ID of the last event that was passed on.
 	lastEvent string
 	began     bool
 	// events is the number of events that the current target sent.
 	events int
-	// err is the end of the stream; io.EOF after a whole one.
+	// err is the end of the stream; io.EOF after a complete one.
 	err  error
 	done bool
 }
@@ -50,36 +49,36 @@
 )
 
 var (
-	errLargeEvent = eris.New("event exceeds the limit")
-	errHalfEvent  = eris.New("stream ended inside an event")
-	errClosed     = eris.New("caller closed the connection")
-	errStalled    = eris.New("caller took no bytes of its answer")
+	errLargeEvent   = eris.New("event exceeds the limit")
+	errPartialEvent = eris.New("stream ended inside an event")
+	errClosed       = eris.New("caller closed the connection")
+	errStalled      = eris.New("caller read no bytes of its response")
 )
 
-func newStream(f *flight, c *link.Conn, ans *answer, b *body, sent *sending) *stream {
+func newStream(f *flight, c *link.Conn, ans *response, b *body, sent *sendState) *stream {
 	return &stream{flight: f, link: c, answer: ans, body: b, sent: sent, size: unknownSize, buffer: make([]byte, 0, eventBuffer)}
 }
 
-// unknownSize has fasthttp send a body in chunks.
+// unknownSize makes fasthttp send a body in chunks.
 const unknownSize = -1
 
-// newLarge returns the stream of a large answer that begins with the bytes read so far.
-func newLarge(f *flight, c *link.Conn, ans *answer, b *body, sent *sending, begin []byte) *stream {
+// newLarge returns the stream of a large response that begins with the bytes read so far.
+func newLarge(f *flight, c *link.Conn, ans *response, b *body, sent *sendState, begin []byte) *stream {
 	s := newStream(f, c, ans, b, sent)
 	s.large, s.buffer, s.ready = true, begin, len(begin)
 	if n := ans.header.ContentLength(); n >= 0 {
 		s.size = n
 	}
 	if b.ended() {
-		s.whole()
+		s.complete()
 	}
 	return s
 }
 
-// Read hands over whole events. An error other than io.EOF makes fasthttp cut
-// the caller's connection, so that the answer does not look complete.
+// Read passes on complete events. An error other than io.EOF makes fasthttp close the caller's
+// connection, so that the response does not look complete.
 func (s *stream) Read(p []byte) (int, error) {
-	s.flight.untaken.clear()
+	s.flight.stall.clear()
 	for s.ready == 0 {
 		if s.err != nil {
 			return 0, s.err
@@ -89,16 +88,16 @@
 	n := copy(p, s.buffer[:s.ready])
 	s.buffer = s.buffer[:copy(s.buffer, s.buffer[n:])]
 	s.ready -= n
-	s.flight.untaken.begin(s.flight.server.options.Clock.Now())
+	s.flight.stall.begin(s.flight.server.options.Clock.Now())
 	return n, nil
 }
 
-// fill reads more of the target's answer, and goes on at another target if
-// this one breaks and the route allows it.
+// fill reads more of the target's response, and resumes the stream at another target if this
+// one breaks and the route allows it.
 func (s *stream) fill() {
 	if len(s.buffer) == cap(s.buffer) {
 		if cap(s.buffer) >= maxEvent {
-			s.broken(errLargeEvent)
+			s.recoverOrFail(errLargeEvent)
 			return
 		}
 		s.buffer = append(make([]byte, 0, 2*cap(s.buffer)), s.buffer...)
@@ -106,31 +105,31 @@
 	n, err := s.body.Read(s.buffer[len(s.buffer):cap(s.buffer)])
 	s.buffer = s.buffer[:len(s.buffer)+n]
 	if n > 0 {
-		s.arrived()
+		s.received()
 	}
 	switch {
 	case err == nil && s.large && s.body.ended():
-		s.whole() // fasthttp reads no further than the length
+		s.complete() // fasthttp does not read beyond the length
 	case err == nil:
 	case err == io.EOF && len(s.buffer) == s.ready:
-		s.whole()
+		s.complete()
 	case err == io.EOF:
-		s.broken(errHalfEvent)
+		s.recoverOrFail(errPartialEvent)
 	default:
-		s.broken(err)
+		s.recoverOrFail(err)
 	}
 }
 
-// arrived notes new bytes: the first ones, and the whole events among them.
-func (s *stream) arrived() {
+// received handles new bytes: it records the first event and marks complete events as ready.
+func (s *stream) received() {
 	f := s.flight
 	f.run.Heard()
 	if !s.began {
 		s.began = true
-		if off, known := f.run.FirstEvent(!f.server.troubled()); known {
+		if off, known := f.run.FirstEvent(!f.server.impaired()); known {
 			f.server.options.Metrics.Observe(metric.PredictionError, off)
 		}
-		f.life.Stream()
+		f.lifecycle.Stream()
 		if f.firstEvent == 0 {
 			f.firstEvent = f.server.options.Clock.Since(f.received)
 			f.server.options.Metrics.Observe(metric.FirstToken, f.firstEvent)
@@ -150,8 +149,7 @@
 	}
 }
 
-// endOfEvents returns the end of the last whole event; an event ends with an
-// empty line.
+// endOfEvents returns the end of the last complete event; an event ends with an empty line.
 func endOfEvents(b []byte) int {
 	end := 0
 	if i := bytes.LastIndex(b, []byte("\n\n")); i >= 0 {
@@ -163,7 +161,7 @@
 	return end
 }
 
-// lastID returns the id of the last event that has one.
+// lastID returns the ID of the last event that has one.
 func lastID(events []byte) string {
 	var id string
 	for line := range bytes.Lines(events) {
@@ -174,26 +172,26 @@
 	return id
 }
 
-// whole ends a stream that the target ended well.
-func (s *stream) whole() {
+// complete ends a stream that the target ended without an error.
+func (s *stream) complete() {
 	s.err = io.EOF
 	s.flight.run.End(place.Answered)
-	s.flight.judge(rollout.Answer{Took: s.flight.sinceSent(), Size: float64(s.events + firstEventSize)})
+	s.flight.recordOutcome(rollout.Answer{Took: s.flight.sinceSent(), Size: float64(s.events + firstEventSize)})
 	s.flight.clear(s.body)
-	s.flight.finish(s.link, s.answer, s.body, s.sent)
+	s.flight.releaseConn(s.link, s.answer, s.body, s.sent)
 }
 
-// broken ends a stream that broke, or goes on at another target.
-func (s *stream) broken(err error) {
+// recoverOrFail resumes a broken stream at another target, or ends it.
+func (s *stream) recoverOrFail(err error) {
 	f := s.flight
-	s.drop(place.Failed)
+	s.disconnect(place.Failed)
 	fail := f.fail(target.Broken, 0, err, "read stream")
-	f.blame(fail, s.began)
-	f.judgeFailure(fail)
-	for !s.large && f.next(fail) {
+	f.recordLoss(fail, s.began)
+	f.recordFailure(fail)
+	for !s.large && f.retryAfterFailure(fail) {
 		ans, again, r := f.attempt(s.caller, s.lastEvent)
 		if r != nil {
-			f.life.GiveUp(false)
+			f.lifecycle.GiveUp(false)
 			break
 		}
 		if again != nil {
@@ -201,7 +199,7 @@
 			continue
 		}
 		if ans.stream == nil {
-			fail = f.fail(target.Broken, ans.header.StatusCode(), errNoPromise, "resume stream")
+			fail = f.fail(target.Broken, ans.header.StatusCode(), errOutcomeUnknown, "resume stream")
 			continue
 		}
 		s.resume(ans)
@@ -210,18 +208,18 @@
 	s.err = fail
 }
 
-// resume goes on with the answer of another target. What was read of an event
-// that was not whole is dropped; the other target sends it again.
-func (s *stream) resume(ans *answer) {
+// resume continues with the response of another target. The bytes of an incomplete event are
+// dropped; the other target sends that event again.
+func (s *stream) resume(ans *response) {
 	s.flight.server.options.Metrics.Inc(metric.StreamsResumed)
 	s.link, s.answer, s.body, s.sent = ans.stream.link, ans, ans.stream.body, ans.stream.sent
 	s.buffer = s.buffer[:s.ready]
 	s.began, s.events = false, 0
 }
 
-// drop closes the connection to the target.
-func (s *stream) drop(result place.Result) {
-	if s.flight.interrupted() != running {
+// disconnect closes the connection to the target.
+func (s *stream) disconnect(result place.Result) {
+	if s.flight.interrupted() != causeNone {
 		result = place.Cancelled
 	}
 	s.flight.detach()
@@ -229,30 +227,30 @@
 	s.flight.run.End(result)
 }
 
-// Close is called by fasthttp when the stream was handed over or the caller
-// went away.
+// Close is called by fasthttp when the stream was passed on or the caller closed its
+// connection.
 func (s *stream) Close() error {
 	if s.done {
 		return nil
 	}
 	s.done = true
 	f := s.flight
-	f.untaken.clear()
+	f.stall.clear()
 	if s.err == nil {
 		s.err = errClosed
-		if f.interrupted() == callerStalled {
+		if f.interrupted() == causeCallerStalled {
 			s.err = errStalled
 		}
-		s.drop(place.Cancelled)
-		f.interrupt(callerGone)
-		f.life.GiveUp(true)
+		s.disconnect(place.Cancelled)
+		f.interrupt(causeCallerClosed)
+		f.lifecycle.GiveUp(true)
 	}
 	if s.err == io.EOF {
-		f.life.Answer()
+		f.lifecycle.Answer()
 		f.server.options.Metrics.Inc(metric.RequestsAnswered)
-		f.server.pace.learn(&f.call, f.server.options.Clock.Since(f.received)-f.firstEvent)
+		f.server.pace.record(&f.call, f.server.options.Clock.Since(f.received)-f.firstEvent)
 	}
 	f.server.logStream(f, s.err)
-	f.server.leave(f)
+	f.server.unregister(f)
 	return nil
 }
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -9,16 +9,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// newMortal returns a target that answers all requests but those with a body, under which it
+// newCrashingTarget returns a target that answers all requests but those with a body, under which it
 // ends.
-func newMortal(t *testing.T, id, body string) *fakeTarget {
+func newCrashingTarget(t *testing.T, id, body string) *fakeTarget {
 	var f *fakeTarget
 	f = newTarget(t, id, func(a *arrival, c net.Conn) bool {
 		if string(a.body) == body {
 			f.listener.Close()
 			return false
 		}
-		return answers(a, c)
+		return respondOK(a, c)
 	})
 	return f
 }
@@ -32,18 +32,18 @@
 		t.Run(path, func(t *testing.T) {
 			var targets []*fakeTarget
 			for i := range 6 {
-				targets = append(targets, newMortal(t, fmt.Sprint("t", i), "ends"))
+				targets = append(targets, newCrashingTarget(t, fmt.Sprint("t", i), "ends"))
 			}
-			s := newSite(t, targets...)
+			s := newTestServer(t, targets...)
 			reached := func() (n int) {
 				for _, f := range targets {
-					n += len(f.seen())
+					n += len(f.received())
 				}
 				return n
 			}
 			for i := range 10 {
 				before := reached()
-				res := s.ask(t, "POST", path, fmt.Sprint("r", i), "ends")
+				res := s.do(t, "POST", path, fmt.Sprint("r", i), "ends")
 				if reached() > before {
 					assert.Equal(t, res.header.StatusCode(), 502)
 					continue
@@ -53,26 +53,26 @@
 				assert.Equal(t, len(res.header.Peek("Retry-After")), 0)
 			}
 			assert.Equal(t, reached(), 2)
-			assert.Equal(t, s.ask(t, "POST", path, "other", "fine").header.StatusCode(), 200)
-			assert.Equal(t, s.ask(t, "POST", path+"x", "elsewhere", "ends").header.StatusCode(), 502, "another path is another request")
+			assert.Equal(t, s.do(t, "POST", path, "other", "fine").header.StatusCode(), 200)
+			assert.Equal(t, s.do(t, "POST", path+"x", "elsewhere", "ends").header.StatusCode(), 502, "another path is another request")
 		})
 	}
 }
 
-// TestTargetsThatSpoilAnswersDoNotBarRequests has targets answer with what cannot be read, or
+// TestInvalidResponsesDoNotBarRequests has targets answer with what cannot be read, or
 // with another request's answer: that says nothing of the request.
-func TestTargetsThatSpoilAnswersDoNotBarRequests(t *testing.T) {
+func TestInvalidResponsesDoNotBarRequests(t *testing.T) {
 	spoils := map[string]func(*arrival, net.Conn) bool{
 		"not an answer":      func(_ *arrival, c net.Conn) bool { fmt.Fprint(c, "rubbish\r\n\r\n"); return false },
-		"another's answer":   func(_ *arrival, c net.Conn) bool { return reply(c, 200, "other", "x", seal) },
-		"failure of its own": func(a *arrival, c net.Conn) bool { return reply(c, 500, a.id(), "bad", seal) },
-		"refusal":            func(a *arrival, c net.Conn) bool { return reply(c, 503, a.id(), "", "Not-Executed: 1") },
+		"another's answer":   func(_ *arrival, c net.Conn) bool { return respond(c, 200, "other", "x", seal) },
+		"failure of its own": func(a *arrival, c net.Conn) bool { return respond(c, 500, a.id(), "bad", seal) },
+		"refusal":            func(a *arrival, c net.Conn) bool { return respond(c, 503, a.id(), "", "Not-Executed: 1") },
 	}
 	for name, serve := range spoils {
 		t.Run(name, func(t *testing.T) {
-			s := newSite(t, newTarget(t, "t1", serve), newTarget(t, "t2", serve), newTarget(t, "t3", serve))
+			s := newTestServer(t, newTarget(t, "t1", serve), newTarget(t, "t2", serve), newTarget(t, "t3", serve))
 			for i := range 10 {
-				s.ask(t, "POST", "/repeat/", fmt.Sprint("r", i), "b")
+				s.do(t, "POST", "/repeat/", fmt.Sprint("r", i), "b")
 			}
 			suspected, barred := s.options.Quarantine.Counts()
 			assert.Equal(t, suspected+barred, 0)
@@ -84,17 +84,17 @@
 // that many callers send, and the others go on answering it.
 func TestRequestThatIsAnsweredIsNotBarred(t *testing.T) {
 	var bad atomic.Bool
-	serve := func(a *arrival, c net.Conn) bool { return !bad.Load() && answers(a, c) }
+	serve := func(a *arrival, c net.Conn) bool { return !bad.Load() && respondOK(a, c) }
 	var targets []*fakeTarget
 	for i := range 4 {
-		targets = append(targets, newTarget(t, fmt.Sprint("good", i), answers), newTarget(t, fmt.Sprint("bad", i), serve))
+		targets = append(targets, newTarget(t, fmt.Sprint("good", i), respondOK), newTarget(t, fmt.Sprint("bad", i), serve))
 	}
-	s := newSite(t, targets...)
-	assert.Equal(t, s.ask(t, "POST", "/repeat/", "first", "popular").header.StatusCode(), 200)
+	s := newTestServer(t, targets...)
+	assert.Equal(t, s.do(t, "POST", "/repeat/", "first", "popular").header.StatusCode(), 200)
 	bad.Store(true)
 	answered := 0
 	for i := range 60 {
-		if s.ask(t, "POST", "/repeat/", fmt.Sprint("r", i), "popular").header.StatusCode() == 200 {
+		if s.do(t, "POST", "/repeat/", fmt.Sprint("r", i), "popular").header.StatusCode() == 200 {
 			answered++
 		}
 	}
--- a/relay/throttle.go
+++ b/relay/throttle.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// throttle bounds the streams that this router takes in a second while it is in
-// trouble. It answers a flood at one host: all requests of a customer whose callers the
-// balancer sends here, several times what the host can carry. Refusing in proportion to
-// the trouble of the last moment takes everything as soon as nothing is tried any more,
-// and so falls behind for seconds again and again: 3 to 85 streams were answered a second,
-// of 590 that came. The rate falls by a part while there is trouble and grows slowly while
-// there is none, as senders of TCP do, and so stays near what the host carries.
+// throttle limits the rate of streams that this router admits while it is overloaded. It
+// protects one host from a flood: all requests of a customer whose callers the balancer sends
+// here, several times the capacity of the host. Refusing in proportion to the overload of the
+// last moment admits all streams as soon as none are admitted any more, and so falls behind for
+// seconds again and again: of 590 streams per second that arrived, 3 to 85 were completed. The
+// rate is decreased by a factor while there is overload and increased slowly while there is
+// none, as TCP senders do, and so stays near the capacity of the host.
 type throttle struct {
 	mu sync.Mutex
-	// rate is in streams a second; 0 is no bound.
+	// rate is in streams per second; 0 means no limit.
 	rate   float64
 	tokens float64
 	at     time.Time
-	// asked counts streams that came by customer, in this second and the one before.
-	asked, askedBefore arrivals
-	// starting is the number of streams that were taken and not sent to a target yet.
-	starting int
-	// taken and refused count streams since the last look, which was at looked.
-	taken, refused int
-	looked         time.Time
-	// excess was found with the last look.
+	// currentArrivals and previousArrivals count the streams that arrived by customer, in this
+	// second and in the one before.
+	currentArrivals, previousArrivals arrivals
+	// dispatching is the number of admitted streams that were not sent to a target yet.
+	dispatching int
+	// admitted and refused count streams since the last adjustment, which was at lastAdjusted.
+	admitted, refused int
+	lastAdjusted      time.Time
+	// excess is the excess as of the last adjustment.
 	excess float64
-	// lowered is when the rate was last lowered, pause the time until it may be again
-	// while the trouble lasts, from the rate at which the trouble began.
-	lowered time.Time
-	pause   time.Duration
-	from    float64
+	// lowered is when the rate was last decreased, pause the time until it may be decreased
+	// again while the overload lasts, troubleRate the rate at which the overload began.
+	lowered     time.Time
+	pause       time.Duration
+	troubleRate float64
 	// refusedAt is when a stream was last refused.
 	refusedAt time.Time
 }
 
-// arrivals counts streams by customer in a second.
+// arrivals counts streams by customer in one second.
 type arrivals struct {
 	second   int64
 	total    int
@@ -44,64 +45,66 @@
 }
 
 const (
-	// smallPart is the part of all streams up to which a customer is not bound by the
-	// rate: its few streams are not what the host cannot carry, and their next try comes
-	// to this host too.
-	smallPart = 1.0 / 8
-	// mostStarting is the most streams that may be on their way to a target at once. One
-	// takes some milliseconds, so that a host which takes 600 a second has four of them;
-	// one that falls behind has more long before it is late.
-	mostStarting = 24
-	// leastRate is the least rate: what the smallest hosts carry without effort, twice
-	// their usual load in a fleet of hundreds. With 5 a pause of the collector cost streams.
-	leastRate = 20.0
-	// slightly and deeply are the parts of the rate that are kept in trouble, the latter
-	// if no stream could be carried in time.
-	slightly = 0.75
-	deeply   = 0.4
-	// firstPause is the time between the first two falls: as long as measurements are
-	// kept, so that a fall shows in them. It doubles while the trouble lasts, as what was
-	// taken too much has to be worked off.
-	firstPause = connectsFor
-	// rise is the part by which the rate grows with each look, quickRise that far below
-	// the rate at which the last trouble began, up to quickPart of it.
-	rise      = 0.04
-	quickRise = 0.15
-	quickPart = 0.5
-	// burstTime is the time for which unused streams may be taken later, leastBurst the
-	// number of those that always may: few streams come in clusters.
-	burstTime  = 100 * time.Millisecond
-	leastBurst = 4.0
-	// unboundAfter is the time without a refusal after which the rate has no bound.
-	unboundAfter = 3 * time.Second
+	// smallCustomerShare is the share of all streams up to which a customer is exempt from the
+	// rate limit: its few streams do not cause the overload, and their retries reach this host
+	// too.
+	smallCustomerShare = 1.0 / 8
+	// maxDispatching limits the streams that are being sent to a target at once. Sending takes
+	// some milliseconds, so a host that serves 600 streams per second has four of them; a host
+	// that falls behind has more of them long before it is late.
+	maxDispatching = 24
+	// minRate is the lowest rate: the smallest hosts serve it easily, and it is twice their
+	// usual load in a fleet of hundreds. With 5, a pause of the garbage collector caused
+	// refusals of streams.
+	minRate = 20.0
+	// slightDecrease and severeDecrease are the factors by which the rate is decreased during
+	// an overload, the latter if no stream could be served in time.
+	slightDecrease = 0.75
+	severeDecrease = 0.4
+	// initialPause is the time between the first two decreases: as long as samples are kept, so
+	// that they show the effect of a decrease. It doubles while the overload lasts, because the
+	// excess streams admitted before have to be completed first.
+	initialPause = connectSampleTTL
+	// slowIncrease is the factor by which the rate grows with each adjustment. fastIncrease
+	// applies instead while the rate is below fastIncreaseShare of the rate at which the last
+	// overload began.
+	slowIncrease      = 0.04
+	fastIncrease      = 0.15
+	fastIncreaseShare = 0.5
+	// burstTime is the time for which unused streams may be admitted later, minBurst the
+	// smallest burst: few streams arrive in clusters.
+	burstTime = 100 * time.Millisecond
+	minBurst  = 4.0
+	// unlimitAfter is the time without a refusal after which the rate limit is removed.
+	unlimitAfter = 3 * time.Second
 )
 
 // count counts a stream of a customer, and reports whether the customer is small.
 func (t *throttle) count(customer string, now time.Time) (small bool) {
-	if second := now.Unix(); second != t.asked.second {
-		t.askedBefore = t.asked
-		t.asked = arrivals{second: second, customer: make(map[string]int)}
+	if second := now.Unix(); second != t.currentArrivals.second {
+		t.previousArrivals = t.currentArrivals
+		t.currentArrivals = arrivals{second: second, customer: make(map[string]int)}
 	}
-	t.asked.total++
-	t.asked.customer[customer]++
-	own := t.asked.customer[customer] + t.askedBefore.customer[customer]
-	return float64(own) <= smallPart*float64(t.asked.total+t.askedBefore.total)
+	t.currentArrivals.total++
+	t.currentArrivals.customer[customer]++
+	own := t.currentArrivals.customer[customer] + t.previousArrivals.customer[customer]
+	return float64(own) <= smallCustomerShare*float64(t.currentArrivals.total+t.previousArrivals.total)
 }
 
-// takes reports whether a stream of a customer may be taken now. If so, started has to
-// be called.
-func (t *throttle) takes(customer string, now time.Time) bool {
+// allow reports whether a stream of a customer may be admitted now. If so, the caller has to
+// call dispatched.
+func (t *throttle) allow(customer string, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	small := t.count(customer, now)
-	if t.starting >= mostStarting {
+	if t.dispatching >= maxDispatching {
 		t.refused++
 		t.refusedAt = now
 		return false
 	}
 	if t.rate > 0 && !small {
-		most := max(t.rate*burstTime.Seconds(), leastBurst)
-		t.tokens = min(t.tokens+t.rate*now.Sub(t.at).Seconds(), most)
+		maxTokens := max(t.rate*burstTime.Seconds(), minBurst)
+		t.tokens = min(t.tokens+t.rate*now.Sub(t.at).Seconds(), maxTokens)
 		t.at = now
 		if t.tokens < 1 {
 			t.refused++
@@ -110,74 +113,75 @@
 		}
 		t.tokens--
 	}
-	t.taken++
-	t.starting++
+	t.admitted++
+	t.dispatching++
 	return true
 }
 
-// started notes that a stream that was taken was sent to a target, or ended before.
-func (t *throttle) started() {
+// dispatched records that an admitted stream was sent to a target, or ended before that.
+func (t *throttle) dispatched() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.starting--
+	t.dispatching--
 }
 
-// look adjusts the rate to the part of streams that this router cannot carry now, and
-// returns the part that was refused since the last look.
-func (t *throttle) look(excess float64, now time.Time) (refused float64) {
+// adjust adapts the rate to the share of streams that this router cannot serve in time, and
+// returns the share that was refused since the last adjustment.
+func (t *throttle) adjust(excess float64, now time.Time) (refused float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	period := now.Sub(t.looked).Seconds()
-	taken := float64(t.taken) / max(period, lookPeriod.Seconds())
+	period := now.Sub(t.lastAdjusted).Seconds()
+	taken := float64(t.admitted) / max(period, checkInterval.Seconds())
 	limited := t.refused > 0
-	refused = float64(t.refused) / float64(max(t.taken+t.refused, 1))
-	t.taken, t.refused, t.looked = 0, 0, now
+	refused = float64(t.refused) / float64(max(t.admitted+t.refused, 1))
+	t.admitted, t.refused, t.lastAdjusted = 0, 0, now
 	easing := t.rate > 0 && excess < t.excess
 	t.excess = excess
 	switch {
 	case excess > 0 && !easing && now.Sub(t.lowered) >= t.pause:
-		t.lower(excess, taken, now)
+		t.decrease(excess, taken, now)
 	case excess > 0:
 	case t.rate == 0:
 	case limited:
-		t.grow()
-	case now.Sub(t.refusedAt) >= unboundAfter:
+		t.increase()
+	case now.Sub(t.refusedAt) >= unlimitAfter:
 		t.rate = 0
 	}
 	return refused
 }
 
-// grow raises the rate after a look without trouble.
-func (t *throttle) grow() {
+// increase raises the rate after an interval without overload.
+func (t *throttle) increase() {
 	t.pause = 0
-	if t.rate < quickPart*t.from {
-		t.rate *= 1 + quickRise
+	if t.rate < fastIncreaseShare*t.troubleRate {
+		t.rate *= 1 + fastIncrease
 	} else {
-		t.rate *= 1 + rise
+		t.rate *= 1 + slowIncrease
 	}
 }
 
-// lower lowers the rate, from what was taken if it had no bound.
-func (t *throttle) lower(excess, taken float64, now time.Time) {
-	part := slightly
+// decrease lowers the rate, starting from the rate of admitted streams if there was no limit.
+func (t *throttle) decrease(excess, taken float64, now time.Time) {
+	part := slightDecrease
 	if excess >= 1 {
-		part = deeply
+		part = severeDecrease
 	}
 	if t.rate == 0 {
-		// A look is too short to tell the rate of few streams; all that came were taken.
-		t.rate, t.at, t.refusedAt = max(taken, float64(t.askedBefore.total)), now, now
-		t.tokens = leastBurst
+		// The interval is too short to measure the rate of few streams, so all streams that
+		// arrived in the last second count too; all of them were admitted.
+		t.rate, t.at, t.refusedAt = max(taken, float64(t.previousArrivals.total)), now, now
+		t.tokens = minBurst
 	}
 	if t.pause == 0 {
-		t.from = max(t.rate, t.from/2)
+		t.troubleRate = max(t.rate, t.troubleRate/2)
 	}
-	t.pause = max(2*t.pause, firstPause)
-	t.rate = max(part*t.rate, leastRate)
-	t.tokens = min(t.tokens, leastBurst)
+	t.pause = max(2*t.pause, initialPause)
+	t.rate = max(part*t.rate, minRate)
+	t.tokens = min(t.tokens, minBurst)
 	t.lowered = now
 }
 
-// current returns the rate, 0 for no bound.
+// current returns the rate, 0 for no limit.
 func (t *throttle) current() float64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/relay/throttle_test.go
+++ b/relay/throttle_test.go
@@ -14,7 +14,7 @@
 type smallHost struct {
 	clock    *clockwork.FakeClock
 	random   *rand.Rand
-	connects connects
+	connects connectHistory
 	throttle throttle
 	// free is when all work that waits is done; due are the times at which streams that
 	// were taken are on their way.
@@ -39,10 +39,10 @@
 		}
 		for len(h.due) > 0 && !h.due[0].After(h.clock.Now()) {
 			h.due = h.due[1:]
-			h.throttle.started()
+			h.throttle.dispatched()
 		}
-		if time.Duration(ms)*time.Millisecond%lookPeriod == 0 {
-			h.throttle.look(h.connects.excess(), h.clock.Now())
+		if time.Duration(ms)*time.Millisecond%checkInterval == 0 {
+			h.throttle.adjust(h.connects.excess(), h.clock.Now())
 		}
 		h.clock.Advance(time.Millisecond)
 	}
@@ -58,14 +58,14 @@
 }
 
 func (h *smallHost) arrive() {
-	if !h.throttle.takes("flood", h.clock.Now()) {
+	if !h.throttle.allow("flood", h.clock.Now()) {
 		h.work(refusalWork)
 		h.refused++
 		return
 	}
 	took := h.behind() + time.Millisecond
 	h.due = append(h.due, h.work(streamWork))
-	h.connects.note(string(rune('a'+h.random.IntN(26))), min(took, 100*time.Millisecond))
+	h.connects.record(string(rune('a'+h.random.IntN(26))), min(took, 100*time.Millisecond))
 	if took < 150*time.Millisecond {
 		h.carried++
 	} else {
@@ -75,13 +75,13 @@
 
 func newSmallHost() *smallHost {
 	clock := clockwork.NewFakeClock()
-	return &smallHost{clock: clock, random: rand.New(rand.NewPCG(3, 4)), connects: connects{clock: clock}}
+	return &smallHost{clock: clock, random: rand.New(rand.NewPCG(3, 4)), connects: connectHistory{clock: clock}}
 }
 
-// TestFloodAtOneHostIsTakenAsFarAsItCarries replays 590 streams a second at a host that
+// TestFloodIsAdmittedUpToCapacity replays 590 streams a second at a host that
 // carries about 90 beside the refusals. Refusals that follow the trouble of the moment
 // carried fewer than half of them in time, and fell a second behind.
-func TestFloodAtOneHostIsTakenAsFarAsItCarries(t *testing.T) {
+func TestFloodIsAdmittedUpToCapacity(t *testing.T) {
 	h := newSmallHost()
 	h.flood(20, 2*time.Second)
 	assert.Equal(t, h.refused, 0, "usual load is not refused")
@@ -117,8 +117,8 @@
 	refused := 0
 	for range 40 {
 		h.flood(590, 50*time.Millisecond)
-		if h.throttle.takes("small", h.clock.Now()) {
-			h.throttle.started()
+		if h.throttle.allow("small", h.clock.Now()) {
+			h.throttle.dispatched()
 		} else {
 			refused++
 		}
@@ -133,6 +133,6 @@
 	for range 10 {
 		h.flood(10, 2*time.Second)
 		assert.Equal(t, h.refused, 0)
-		h.throttle.look(0.5, h.clock.Now())
+		h.throttle.adjust(0.5, h.clock.Now())
 	}
 }
--- a/relay/version.go
+++ b/relay/version.go
@@ -8,11 +8,13 @@
 	"zinccove.example/zinccove/target"
 )
 
-// firstEventSize is how many events the time to the first one of a stream counts as.
+// firstEventSize is the number of events that the time to the first event of a stream counts
+// as.
 const firstEventSize = 2
 
-// chooseVersions decides at which version of a service that moves to a new one the request may
-// run, by a number from 0 to 1: 1 is the old one while there are two.
+// chooseVersions decides at which version of a service the request may run while the service is
+// moved to a new version. It uses a number from 0 to 1: 1 selects the old version while there
+// are two.
 func (f *flight) chooseVersions(draw float64) {
 	if rollouts := f.server.options.Rollouts; rollouts != nil {
 		c := rollouts.Choose(f.service, draw)
@@ -20,36 +22,36 @@
 	}
 }
 
-// beginVersion counts the attempt at the version of its target.
-func (f *flight) beginVersion() {
+// startVersion counts the attempt for the version of its target.
+func (f *flight) startVersion() {
 	if rollouts := f.server.options.Rollouts; rollouts != nil {
 		f.run.Ended = rollouts.Begin(f.service, f.run.Target.Version)
 	}
 }
 
-// judge takes an answer of the target of the current attempt.
-func (f *flight) judge(a rollout.Answer) {
+// recordOutcome reports the outcome of the current attempt to the rollout of its service.
+func (f *flight) recordOutcome(a rollout.Answer) {
 	o := &f.server.options
 	if o.Rollouts != nil && o.Rollouts.Note(f.service, f.route.Name, f.run.Target.Version, a) {
 		o.OnVersionFailure()
 	}
 }
 
-// judgeFailure takes a failure of the target. What follows it is not sent to a new version
-// that is still judged.
-func (f *flight) judgeFailure(fail *target.Failure) {
-	if f.interrupted() != running {
+// recordFailure reports a failure of the target. Later attempts of the request are not sent to
+// a new version that is still under evaluation.
+func (f *flight) recordFailure(fail *target.Failure) {
+	if f.interrupted() != causeNone {
 		return
 	}
 	if fail.Kind == target.Broken || fail.Kind == target.Crossed {
-		f.judge(rollout.Answer{Failed: true})
+		f.recordOutcome(rollout.Answer{Failed: true})
 	}
 	if f.versions.Only != "" {
 		f.chooseVersions(1)
 	}
 }
 
-// sinceSent is the time since the current attempt was sent.
+// sinceSent returns the time since the current attempt was sent.
 func (f *flight) sinceSent() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
