--- a/hangup/hangup_test.go
+++ b/hangup/hangup_test.go
@@ -22,7 +22,7 @@
 	return server, client
 }
 
-func TestGoneCallerIsNoticed(t *testing.T) {
+func TestClosedCallerIsDetected(t *testing.T) {
 	server, client := pair(t)
 	w := New(time.Millisecond, clockwork.NewRealClock())
 	defer w.Close()
@@ -33,7 +33,7 @@
 	<-gone
 }
 
-func TestPendingBytesAreLeftAlone(t *testing.T) {
+func TestPeekKeepsPendingBytes(t *testing.T) {
 	server, client := pair(t)
 	_, err := client.Write([]byte("next"))
 	assert.NilError(t, err)
--- a/link/link_test.go
+++ b/link/link_test.go
@@ -12,7 +12,7 @@
 
 var addr = netip.MustParseAddrPort("127.0.0.1:1")
 
-// newTestPool returns a pool and the far ends of its connections.
+// newTestPool returns a pool and the peer ends of its connections.
 func newTestPool(t *testing.T) (*Pool, *clockwork.FakeClock, *[]net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,7 +53,7 @@
 	assert.Equal(t, len(*far), 2)
 }
 
-func TestRestedConnectionIsNotForRequestsThatMustNotBeRepeated(t *testing.T) {
+func TestIdleConnectionIsNotUsedBeyondShortIdle(t *testing.T) {
 	p, clock, _ := newTestPool(t)
 	p.Put(get(t, p, "a", ShortIdle), 0)
 	clock.Advance(time.Duration(ShortIdle) + time.Millisecond)
@@ -61,14 +61,14 @@
 	assert.Assert(t, get(t, p, "a", LongIdle).Reused)
 }
 
-func TestConnectionIsGivenUpBeforeTheTargetDoes(t *testing.T) {
+func TestConnectionExpiresBeforeTargetClosesIt(t *testing.T) {
 	p, clock, _ := newTestPool(t)
 	p.Put(get(t, p, "a", LongIdle), 2*time.Second)
 	clock.Advance(2*time.Second - idleMargin + time.Millisecond)
 	assert.Assert(t, !get(t, p, "a", LongIdle).Reused)
 }
 
-func TestBytesBetweenRequestsEndTheConnection(t *testing.T) {
+func TestDisturbedIdleConnectionIsNotReused(t *testing.T) {
 	for _, disturb := range []func(net.Conn){
 		func(c net.Conn) { c.Write([]byte("stray")) },
 		func(c net.Conn) { c.Close() },
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -57,14 +57,14 @@
 	at := func(d time.Duration) time.Time { return now.Add(d) }
 	var s State
 	assert.Equal(t, s.Apply(Notice{Backoff: 3 * time.Second}, now), Notice{Backoff: 3 * time.Second})
-	assert.Equal(t, s.Apply(Notice{Backoff: time.Second}, at(time.Second)), Notice{}, "shorter than the one that holds")
+	assert.Equal(t, s.Apply(Notice{Backoff: time.Second}, at(time.Second)), Notice{}, "shorter than the backoff that applies")
 	assert.Assert(t, s.BackingOff(at(2900*time.Millisecond)))
 	assert.Assert(t, !s.BackingOff(at(3*time.Second)))
-	assert.Equal(t, s.Apply(Notice{Backoff: 4 * time.Second}, at(2*time.Second)), Notice{}, "goes on")
+	assert.Equal(t, s.Apply(Notice{Backoff: 4 * time.Second}, at(2*time.Second)), Notice{}, "extends the backoff that applies")
 	assert.Equal(t, s.BackoffEnd(), at(6*time.Second))
 	assert.Equal(t, s.Apply(Notice{Draining: true}, at(2*time.Second)), Notice{Draining: true})
 	assert.Equal(t, s.Apply(Notice{Draining: true}, at(2*time.Second)), Notice{})
 	assert.Equal(t, s.Apply(Notice{}, at(2*time.Second)), Notice{})
-	assert.Assert(t, s.Draining() && s.BackingOff(at(5*time.Second)), "an answer without a notice takes nothing back")
-	assert.Equal(t, s.Apply(Notice{Backoff: time.Second}, at(7*time.Second)), Notice{Backoff: time.Second}, "another one")
+	assert.Assert(t, s.Draining() && s.BackingOff(at(5*time.Second)), "a response without a notice revokes nothing")
+	assert.Equal(t, s.Apply(Notice{Backoff: time.Second}, at(7*time.Second)), Notice{Backoff: time.Second}, "a new backoff after the end of the last one")
 }
--- a/quarantine/content_test.go
+++ b/quarantine/content_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// BenchmarkFingerprint: 13 µs for a body of 17 KB, as long prompts have, on a processor with
-// instructions for SHA-256.
+// BenchmarkFingerprint: 13 µs for a body of 17 KB, the size of long prompts, on a processor
+// with instructions for SHA-256.
 func BenchmarkFingerprint(b *testing.B) {
 	c := &Content{Customer: "customer", Method: []byte("POST"), Host: []byte("host.example"), URI: []byte("/drafts/1/2"), Body: make([]byte, 17_000)}
 	for b.Loop() {
--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -24,24 +24,24 @@
 	}
 	now := l.clock.Now()
 	l.expire(now)
-	var told []*zinccovev1.Suspect
+	var suspects []*zinccovev1.Suspect
 	for _, s := range l.order {
-		if s.announcements > 0 && len(told) < maxPerDatagram {
+		if s.announcements > 0 && len(suspects) < maxPerDatagram {
 			s.announcements--
-			told = append(told, s.proto(now))
+			suspects = append(suspects, s.proto(now))
 		}
 	}
 	l.heartbeats++
 	if l.heartbeats%repeatEvery != 0 {
-		return told
+		return suspects
 	}
-	for range min(repeatCount, len(l.order), maxPerDatagram-len(told)) {
+	for range min(repeatCount, len(l.order), maxPerDatagram-len(suspects)) {
 		l.turn++
 		if s := l.order[l.turn%len(l.order)]; !s.answered {
-			told = append(told, s.proto(now))
+			suspects = append(suspects, s.proto(now))
 		}
 	}
-	return told
+	return suspects
 }
 
 func (s *suspect) proto(now time.Time) *zinccovev1.Suspect {
@@ -80,7 +80,7 @@
 			s = l.add(f)
 		}
 		if s != nil && !s.answered {
-			l.clear(s, now)
+			l.markCleared(s, now)
 			s.announcements = 0 // the router that received the response announces it to all
 		}
 		return false
--- a/quarantine/persister.go
+++ b/quarantine/persister.go
@@ -89,14 +89,14 @@
 		return errs.Wrap(err, "read barred requests", "")
 	}
 	now := k.Clock.Now()
-	var told []*zinccovev1.Suspect
+	var suspects []*zinccovev1.Suspect
 	for _, row := range rows {
 		var r record
 		if json.Unmarshal(row.Value, &r) == nil {
-			told = append(told, r.suspect(now))
+			suspects = append(suspects, r.suspect(now))
 		}
 	}
-	for _, f := range k.List.Merge(told) {
+	for _, f := range k.List.Merge(suspects) {
 		k.Log.Warn().Stringer("fingerprint", f).Msg("request barred by a row of the store")
 	}
 	return nil
--- a/quarantine/persister_test.go
+++ b/quarantine/persister_test.go
@@ -16,10 +16,10 @@
 	"zinccove.example/zinccove/platform/platformtest"
 )
 
-// startPersister runs a keeper until the test ends or stop is called.
+// startPersister runs a persister until the test ends or stop is called.
 func startPersister(t *testing.T, l *List, table platform.Table, clock clockwork.Clock) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	k := newKeeper(t, l, table, clock)
+	k := newPersister(t, l, table, clock)
 	var g errgroup.Group
 	g.Go(func() error { return k.Run(ctx) })
 	stop = func() {
@@ -30,7 +30,7 @@
 	return stop
 }
 
-func newKeeper(t *testing.T, l *List, table platform.Table, clock clockwork.Clock) *Persister {
+func newPersister(t *testing.T, l *List, table platform.Table, clock clockwork.Clock) *Persister {
 	t.Helper()
 	m, err := metric.New()
 	assert.NilError(t, err)
@@ -49,9 +49,9 @@
 	t.Fatal("not in time: " + what)
 }
 
-// TestBarredRequestsAreKnownAfterAllRoutersStartedAgain has the router that barred a request
-// lose all it knows. The first calls to the table fail.
-func TestBarredRequestsAreKnownAfterAllRoutersStartedAgain(t *testing.T) {
+// TestBarredRequestsSurviveRestartOfAllRouters has the router that barred a request lose its
+// list. The first calls to the table fail.
+func TestBarredRequestsSurviveRestartOfAllRouters(t *testing.T) {
 	clock := clockwork.NewRealClock()
 	m := platformtest.New()
 	m.Fail = func(call int, _ bool) platformtest.Failure {
@@ -73,8 +73,9 @@
 	assert.Assert(t, !after.Barred(contentOf("another")))
 }
 
-// TestOddAndOldRowsBarNothing also holds for a row in the future, which other clocks write.
-func TestOddAndOldRowsBarNothing(t *testing.T) {
+// TestInvalidAndExpiredRowsBarNothing also covers a row with a time in the future, which other
+// clocks can write.
+func TestInvalidAndExpiredRowsBarNothing(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	m := platformtest.New()
 	ctx, c := context.Background(), contentOf("old")
@@ -86,7 +87,7 @@
 		assert.NilError(t, m.Table().Commit(ctx, platform.Txn{Puts: []platform.Put{{Key: rowPrefix + key, Value: value}}}))
 	}
 	l := New(clock)
-	k := newKeeper(t, l, m.Table(), clock)
+	k := newPersister(t, l, m.Table(), clock)
 	assert.NilError(t, k.load(ctx))
 	assert.Assert(t, !l.Barred(c))
 	assert.Assert(t, l.Barred(contentOf("ahead")))
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -157,9 +157,8 @@
 	}
 }
 
-// hasSuspects reports whether there are suspects; while there are none, no fingerprint is
-// needed.
-func (l *List) hasSuspects() bool { return l.known.Load() > 0 }
+// any reports whether there are suspects; while there are none, no fingerprint is needed.
+func (l *List) any() bool { return l.known.Load() > 0 }
 
 // Changed receives a value when a request was barred because of a loss of this router.
 func (l *List) Changed() <-chan struct{} { return l.changed }
@@ -167,7 +166,7 @@
 // Barred reports whether a request must not reach any target. A request that others have barred
 // and that got a response here recently is cleared.
 func (l *List) Barred(c *Content) bool {
-	if !l.hasSuspects() {
+	if !l.any() {
 		return false
 	}
 	f := c.Fingerprint()
@@ -179,7 +178,7 @@
 		return false
 	}
 	if l.recentlyAnswered(c.localHash(l.seed), now) {
-		l.clear(s, now)
+		l.markCleared(s, now)
 		return false
 	}
 	return true
@@ -289,7 +288,7 @@
 // are notified if it was a suspect.
 func (l *List) RecordResponse(c *Content) {
 	local := c.localHash(l.seed)
-	if l.hasSuspects() {
+	if l.any() {
 		c.Fingerprint()
 	}
 	l.mu.Lock()
@@ -303,12 +302,12 @@
 		return
 	}
 	if s := l.suspects[*c.fingerprint]; s != nil && !s.answered {
-		l.clear(s, now)
+		l.markCleared(s, now)
 	}
 }
 
-// clear makes a suspect one that is announced to others as cleared.
-func (l *List) clear(s *suspect, now time.Time) {
+// markCleared makes a suspect one that is announced to others as cleared.
+func (l *List) markCleared(s *suspect, now time.Time) {
 	if !s.answered {
 		l.known.Add(-1)
 	}
--- a/quarantine/quarantine_test.go
+++ b/quarantine/quarantine_test.go
@@ -12,18 +12,18 @@
 	zinccovev1 "zinccove.example/zinccove/gen/zinccove/v1"
 )
 
-// lossWithoutResponse is the loss of a target that had not begun to answer.
+// lossWithoutResponse is the loss of a target that had not begun to respond.
 func lossWithoutResponse(t IncarnationHash) Loss { return Loss{Target: t} }
 
 func contentOf(body string) *Content { return &Content{Customer: "c", Body: []byte(body)} }
 
-// exchangeHeartbeats has each list tell all others, as one heartbeat of each does.
+// exchangeHeartbeats sends one heartbeat of each list to all others.
 func exchangeHeartbeats(lists ...*List) {
 	for _, from := range lists {
-		told := from.NextHeartbeat()
+		heartbeat := from.NextHeartbeat()
 		for _, to := range lists {
 			if to != from {
-				to.Merge(told.GetSuspects())
+				to.Merge(heartbeat.GetSuspects())
 			}
 		}
 	}
@@ -41,13 +41,13 @@
 func TestLossesOfAllRoutersBarARequest(t *testing.T) {
 	lists, _ := newLists(3)
 	f := contentOf("ends")
-	assert.Assert(t, !lists[0].hasSuspects())
+	assert.Assert(t, !lists[0].any())
 	assert.Assert(t, !lists[0].RecordLoss(f, lossWithoutResponse(1)))
 	exchangeHeartbeats(lists...)
 	for _, l := range lists {
-		assert.Assert(t, l.hasSuspects() && !l.Barred(f))
+		assert.Assert(t, l.any() && !l.Barred(f))
 	}
-	assert.Assert(t, !lists[1].RecordLoss(f, lossWithoutResponse(1)), "the same run of a target counts once")
+	assert.Assert(t, !lists[1].RecordLoss(f, lossWithoutResponse(1)), "the same incarnation of a target counts once")
 	assert.Assert(t, lists[1].RecordLoss(f, lossWithoutResponse(2)))
 	<-lists[1].Changed()
 	exchangeHeartbeats(lists...)
@@ -57,8 +57,9 @@
 	}
 }
 
-// TestRouterThatStartsLearnsWhatIsBarred also has the router that saw the losses gone.
-func TestRouterThatStartsLearnsWhatIsBarred(t *testing.T) {
+// TestStartingRouterReceivesBarredRequests has the router that recorded the losses fail before
+// another one starts.
+func TestStartingRouterReceivesBarredRequests(t *testing.T) {
 	lists, clock := newLists(3)
 	for n := range 2 * repeatCount {
 		for loss := range 2 {
@@ -78,7 +79,7 @@
 	}
 }
 
-func TestNothingIsToldWhileNothingIsSuspected(t *testing.T) {
+func TestNoHeartbeatWithoutSuspects(t *testing.T) {
 	lists, _ := newLists(1)
 	lists[0].RecordResponse(contentOf("fine"))
 	for range 2 * repeatEvery {
@@ -86,11 +87,11 @@
 	}
 }
 
-// TestRequestOfManyCallersIsNotBarredByTargetsThatEnd has three of nine targets end at
-// once, with the same request of many callers at each, from all routers. It is answered
-// elsewhere before and after, and must not be shut out there. A router that did not serve
-// it lately learns from the others that it was answered, once they are asked.
-func TestRequestOfManyCallersIsNotBarredByTargetsThatEnd(t *testing.T) {
+// TestPopularRequestIsNotBarred has three of nine targets end at once, with the same request of
+// many callers at each, from all routers. Other targets respond to it before and after, so it
+// must not be barred there. A router that did not serve it recently is notified by the others
+// of the response after they check the request again.
+func TestPopularRequestIsNotBarred(t *testing.T) {
 	lists, clock := newLists(4)
 	f := contentOf("popular")
 	for range 3 {
@@ -112,7 +113,7 @@
 	}
 }
 
-func TestAnswerEndsASuspicionEverywhere(t *testing.T) {
+func TestResponseClearsSuspectEverywhere(t *testing.T) {
 	lists, clock := newLists(3)
 	f := contentOf("unlucky")
 	lists[0].RecordLoss(f, lossWithoutResponse(1))
@@ -120,13 +121,13 @@
 	lists[2].RecordResponse(f)
 	exchangeHeartbeats(lists...)
 	for _, l := range lists {
-		assert.Assert(t, !l.hasSuspects())
+		assert.Assert(t, !l.any())
 	}
 	clock.Advance(2 * clearedTTL)
-	assert.Assert(t, !lists[1].RecordLoss(f, lossWithoutResponse(2)), "losses before the answer are forgotten")
+	assert.Assert(t, !lists[1].RecordLoss(f, lossWithoutResponse(2)), "losses before the response do not count")
 }
 
-func TestWhatIsToldLateDoesNotAgeAnew(t *testing.T) {
+func TestLateReportKeepsAge(t *testing.T) {
 	lists, clock := newLists(2)
 	f := contentOf("ends")
 	for target := range IncarnationHash(2) {
@@ -139,12 +140,12 @@
 	for _, l := range lists {
 		assert.Assert(t, !l.Barred(f))
 		l.NextHeartbeat()
-		assert.Assert(t, !l.hasSuspects())
+		assert.Assert(t, !l.any())
 	}
 }
 
-// TestCallerWithManySuspectsPushesOutNothingBarred fills a list.
-func TestCallerWithManySuspectsPushesOutNothingBarred(t *testing.T) {
+// TestManySuspectsDisplaceNoBarredRequest fills a list.
+func TestManySuspectsDisplaceNoBarredRequest(t *testing.T) {
 	lists, _ := newLists(1)
 	l, f := lists[0], contentOf("ends")
 	for target := range IncarnationHash(2) {
@@ -163,7 +164,7 @@
 	assert.Assert(t, len(l.answers) <= maxAnswered)
 }
 
-func TestOddWordsOfOthersAreTaken(t *testing.T) {
+func TestInvalidSuspectsAreHandled(t *testing.T) {
 	lists, _ := newLists(1)
 	l := lists[0]
 	c := contentOf("x")
@@ -176,16 +177,16 @@
 		{}, {Fingerprint: []byte("short")}, {Fingerprint: make([]byte, 100), Targets: many},
 		{Fingerprint: f[:], Targets: many[:1], AgeMs: 1 << 63},
 	})
-	assert.Assert(t, !l.hasSuspects())
+	assert.Assert(t, !l.any())
 	l.Merge([]*zinccovev1.Suspect{{Fingerprint: f[:], Targets: many}})
 	assert.Assert(t, l.Barred(c))
 	assert.Equal(t, len(l.suspects[f].losses), maxLosses)
 }
 
-// simulateFleet plays a request that ends each target against routers that tell each other with
-// each heartbeat, some of whose datagrams are lost. Callers send it at any router ten
-// times between two heartbeats. It returns how often it reached a target in all, and later
-// than two heartbeats after the third loss.
+// simulateFleet simulates a request that ends each target, with routers that exchange
+// heartbeats, some of which are lost. Callers send the request to random routers ten times
+// between two heartbeats. It returns how often the request reached a target in all, and how
+// often later than two heartbeats after the third loss.
 func simulateFleet(routers int, lists []*List, random *rand.Rand) (all, late int) {
 	f := contentOf("ends")
 	third := -1
@@ -205,10 +206,10 @@
 			third = beat
 		}
 		for _, from := range lists {
-			told := from.NextHeartbeat()
+			suspects := from.NextHeartbeat()
 			for _, to := range lists {
 				if to != from && random.Float64() > 0.3 {
-					to.Merge(told.GetSuspects())
+					to.Merge(suspects.GetSuspects())
 				}
 			}
 		}
@@ -216,10 +217,10 @@
 	return all, late
 }
 
-// TestFleetBoundsARequestThatEndsItsTargets holds for few and many routers, with three of
-// ten datagrams lost. Routers that do not tell each other are the way that was not taken:
-// each of them has its own losses, and 64 routers lose 128 targets.
-func TestFleetBoundsARequestThatEndsItsTargets(t *testing.T) {
+// TestFleetBoundsLossesOfOneRequest covers few and many routers, with three of ten datagrams
+// lost. Without an exchange of suspects each router counts only its own losses, and 64 routers
+// lose 128 targets.
+func TestFleetBoundsLossesOfOneRequest(t *testing.T) {
 	for _, routers := range []int{3, 9, 64, 295} {
 		random := rand.New(rand.NewPCG(1, uint64(routers)))
 		lists, _ := newLists(routers)
@@ -228,8 +229,8 @@
 	}
 }
 
-// BenchmarkBarred: 100 ns for a request that was hashed before; while there are no suspects,
-// 1 ns.
+// BenchmarkBarred: 100 ns for a request that was hashed before; while there are no suspects, 1
+// ns.
 func BenchmarkBarred(b *testing.B) {
 	l := New(clockwork.NewRealClock())
 	for n := range 100 {
@@ -241,7 +242,8 @@
 	}
 }
 
-// BenchmarkAnswered: 2.2 µs with 17 KB; 13 µs when each answered request had a fingerprint.
+// BenchmarkAnswered: 2.2 µs with 17 KB; 13 µs with a fingerprint of each request with a
+// response.
 func BenchmarkAnswered(b *testing.B) {
 	l := New(clockwork.NewRealClock())
 	c := &Content{Customer: "customer", URI: []byte("/drafts/1/2"), Body: make([]byte, 17_000)}
@@ -250,9 +252,9 @@
 	}
 }
 
-// TestTargetsThatHadBegunToAnswerSpeakLess has a stream cut at three targets in the middle,
-// which a fourth one goes on with, and a request that ends each target without a word.
-func TestTargetsThatHadBegunToAnswerSpeakLess(t *testing.T) {
+// TestPartialLossesWeighLess has a stream cut at three targets in the middle, which is resumed
+// at a fourth one, and a request that ends each target before its response.
+func TestPartialLossesWeighLess(t *testing.T) {
 	lists, _ := newLists(2)
 	stream := contentOf("stream")
 	for target := range IncarnationHash(3) {
@@ -263,6 +265,6 @@
 	assert.Assert(t, lists[1].RecordLoss(stream, Loss{Target: 3, Partial: true}), "the fourth one")
 	mixed := contentOf("mixed")
 	assert.Assert(t, !lists[0].RecordLoss(mixed, Loss{Target: 1, Partial: true}))
-	assert.Assert(t, !lists[0].RecordLoss(mixed, lossWithoutResponse(1)), "the heavier word on one run counts")
+	assert.Assert(t, !lists[0].RecordLoss(mixed, lossWithoutResponse(1)), "of two reports on one incarnation the one with the greater weight counts")
 	assert.Assert(t, lists[0].RecordLoss(mixed, lossWithoutResponse(2)))
 }
