--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -52,13 +52,13 @@
 	f.lifecycle.Queue()
 	f.lifecycle.Dispatch()
 	s.logPlaced(f)
-	ans, fail := f.exchange(ctx, lastEvent)
+	resp, fail := f.exchange(ctx, lastEvent)
 	if fail != nil {
 		d.Run.End(f.result(fail.Kind))
 		f.recordLoss(fail, fail.Status != 0)
 		f.recordFailure(fail)
 	}
-	return ans, fail, nil
+	return resp, fail, nil
 }
 
 // place chooses a target, after querying the owners of candidates unless this router is
@@ -68,13 +68,13 @@
 		Service: f.service, Customer: f.customer, Objective: f.route.Objective, Call: &f.call, Tried: f.tried, Regions: f.regions, Versions: f.versions,
 	}
 	s := f.server
-	var answers []place.Answer
+	var replies []place.Answer
 	if s.options.Query != nil && !s.impaired() {
 		began := s.options.Clock.Now()
-		answers = s.options.Query(s.options.Placer.Questions(r))
+		replies = s.options.Query(s.options.Placer.Questions(r))
 		f.queryTime = s.options.Clock.Since(began)
 	}
-	f.decision = s.options.Placer.Place(r, answers...)
+	f.decision = s.options.Placer.Place(r, replies...)
 	return f.decision
 }
 
@@ -122,12 +122,12 @@
 		return nil, fail
 	}
 	sending := f.send(ctx, c, lastEvent)
-	ans, fail := f.receive(ctx, c, sending)
+	resp, fail := f.receive(ctx, c, sending)
 	if fail != nil {
 		f.detach()
 		c.Close() //nolint:errcheck // the failure is known already
 	}
-	return ans, fail
+	return resp, fail
 }
 
 // sendState records whether the request was sent completely.
@@ -188,32 +188,32 @@
 
 // receive reads the response.
 func (f *flight) receive(ctx *fasthttp.RequestCtx, c *link.Conn, sent *sendState) (*response, *target.Failure) {
-	ans := new(response)
-	if fail := f.readHead(c, ans); fail != nil {
+	resp := new(response)
+	if fail := f.readHead(c, resp); fail != nil {
 		return nil, fail
 	}
-	if fail := f.notRunFailure(ans); fail != nil {
+	if fail := f.notRunFailure(resp); fail != nil {
 		return nil, fail
 	}
-	status := ans.header.StatusCode()
+	status := resp.header.StatusCode()
 	switch {
 	case impliesNotRun(status):
 		return nil, f.fail(target.Broken, status, errOutcomeUnknown, "read response")
-	case status < fasthttp.StatusMultipleChoices && !ans.info.Signed:
+	case status < fasthttp.StatusMultipleChoices && !resp.info.Signed:
 		return nil, f.fail(target.Broken, status, errUnsigned, "read response")
 	}
-	body := newBody(c.Reader, &ans.header, ctx.IsHead())
+	body := newBody(c.Reader, &resp.header, ctx.IsHead())
 	if status == fasthttp.StatusOK && f.engine {
-		ans.stream = newStream(f, c, ans, body, sent)
-		return ans, nil
+		resp.stream = newStream(f, c, resp, body, sent)
+		return resp, nil
 	}
 	var err error
-	if ans.body, err = body.readUpTo(maxBufferedResponse); err != nil {
+	if resp.body, err = body.readUpTo(maxBufferedResponse); err != nil {
 		return nil, f.fail(target.Broken, status, err, "read response")
 	}
-	if len(ans.body) == maxBufferedResponse {
-		ans.stream = newLarge(f, c, ans, body, sent, ans.body)
-		return ans, nil
+	if len(resp.body) == maxBufferedResponse {
+		resp.stream = newLarge(f, c, resp, body, sent, resp.body)
+		return resp, nil
 	}
 	if status >= fasthttp.StatusInternalServerError {
 		f.run.End(place.Faulty) // a later End has no effect
@@ -221,19 +221,19 @@
 	f.run.End(place.Answered)
 	f.recordOutcome(rollout.Answer{Failed: status >= fasthttp.StatusInternalServerError, Took: f.sinceSent(), Size: 1})
 	f.clear(body)
-	f.releaseConn(c, ans, body, sent)
-	return ans, nil
+	f.releaseConn(c, resp, body, sent)
+	return resp, nil
 }
 
 // notRunFailure returns the failure for a response which guarantees that the request did not
 // run, and nil for other responses. Status 421 guarantees it without the header: it comes from
 // another incarnation of the target, which the request was not meant for.
-func (f *flight) notRunFailure(ans *response) *target.Failure {
-	status := ans.header.StatusCode()
+func (f *flight) notRunFailure(resp *response) *target.Failure {
+	status := resp.header.StatusCode()
 	switch {
 	case status == fasthttp.StatusMisdirectedRequest:
 		return f.fail(target.Replaced, status, errReplaced, "read response")
-	case ans.info.NotRun:
+	case resp.info.NotRun:
 		return f.fail(target.Refused, status, errNotRun, "read response")
 	}
 	return nil
@@ -256,47 +256,47 @@
 
 // readHead reads the head of the response to this request. Late responses to earlier requests
 // on the connection are discarded.
-func (f *flight) readHead(c *link.Conn, ans *response) *target.Failure {
+func (f *flight) readHead(c *link.Conn, resp *response) *target.Failure {
 	for mismatched := 0; ; {
-		if err := ans.header.Read(c.Reader); err != nil {
+		if err := resp.header.Read(c.Reader); err != nil {
 			return f.fail(target.Broken, 0, err, "read response head")
 		}
 		f.run.Heard()
-		if ans.header.StatusCode() < fasthttp.StatusOK {
+		if resp.header.StatusCode() < fasthttp.StatusOK {
 			continue
 		}
-		ans.info = f.server.options.Codec.DecodeResponse(&ans.header)
-		f.recordNotice(c, ans)
-		if ans.info.ID == f.call.ID {
+		resp.info = f.server.options.Codec.DecodeResponse(&resp.header)
+		f.recordNotice(c, resp)
+		if resp.info.ID == f.call.ID {
 			return nil
 		}
-		if ans.info.ID == "" && ans.info.NotRun || mismatched >= maxMismatched || !c.Reused {
-			return f.mismatchFailure(ans)
+		if resp.info.ID == "" && resp.info.NotRun || mismatched >= maxMismatched || !c.Reused {
+			return f.mismatchFailure(resp)
 		}
 		mismatched++
-		if err := newBody(c.Reader, &ans.header, false).discard(); err != nil {
+		if err := newBody(c.Reader, &resp.header, false).discard(); err != nil {
 			return f.fail(target.Crossed, 0, err, "discard the response to another request")
 		}
 	}
 }
 
 // mismatchFailure returns the failure for a response that names another request, or none.
-func (f *flight) mismatchFailure(ans *response) *target.Failure {
-	if ans.info.ID == "" {
-		if fail := f.notRunFailure(ans); fail != nil {
+func (f *flight) mismatchFailure(resp *response) *target.Failure {
+	if resp.info.ID == "" {
+		if fail := f.notRunFailure(resp); fail != nil {
 			return fail
 		}
 	}
-	return f.fail(target.Crossed, ans.header.StatusCode(), errMismatchedID, "read response")
+	return f.fail(target.Crossed, resp.header.StatusCode(), errMismatchedID, "read response")
 }
 
 // releaseConn returns the connection to the pool after a complete response, or closes it if it
 // cannot be reused.
-func (f *flight) releaseConn(c *link.Conn, ans *response, body *body, sent *sendState) {
-	reusable := f.detach() && body.framed() && sent.done.Load() && !ans.info.Close
+func (f *flight) releaseConn(c *link.Conn, resp *response, body *body, sent *sendState) {
+	reusable := f.detach() && body.framed() && sent.done.Load() && !resp.info.Close
 	if !reusable {
 		c.Close() //nolint:errcheck // the response is complete
 		return
 	}
-	f.server.options.Links.Put(c, ans.info.IdleTimeout)
+	f.server.options.Links.Put(c, resp.info.IdleTimeout)
 }
--- a/relay/connect.go
+++ b/relay/connect.go
@@ -185,6 +185,6 @@
 func (c *connectHistory) excess() float64 { return excess(c.median(), normalConnect, saturatedConnect) }
 
 // excess returns the position of d between low (0) and high (1).
-func excess(d, usual, hopeless time.Duration) float64 {
-	return min(max((d-usual).Seconds()/(hopeless-usual).Seconds(), 0), 1)
+func excess(d, low, high time.Duration) float64 {
+	return min(max((d-low).Seconds()/(high-low).Seconds(), 0), 1)
 }
--- a/relay/connect_bench_test.go
+++ b/relay/connect_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// BenchmarkTypicalConnect is asked for three times for each stream: 1.86 us and 5
-// allocations when its list was grown, 0.85 us and none since it has its size at once.
+// BenchmarkTypicalConnect measures the median, which each stream needs three times: 1.86 us and
+// 5 allocations with a list that grows, 0.85 us and none with a list of its final size.
 func BenchmarkTypicalConnect(b *testing.B) {
 	c := &connectHistory{clock: clockwork.NewFakeClock()}
 	for i := range connectSamples {
--- a/relay/connect_test.go
+++ b/relay/connect_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestSlowConnectionsToMostTargetsImpairRouter has some targets dead, then all slow.
+// TestSlowConnectionsToMostTargetsImpairRouter has some failed targets, then only slow ones.
 func TestSlowConnectionsToMostTargetsImpairRouter(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	c := &connectHistory{clock: clock}
@@ -24,23 +24,22 @@
 		}
 		c.record(name(i), took)
 	}
-	assert.Assert(t, !c.impaired(), "four of nine targets are dead")
+	assert.Assert(t, !c.impaired(), "four of nine targets have failed")
 	assert.Equal(t, c.excess(), 0.0)
 	for range connectSamples {
 		c.record("dead", 60*time.Millisecond)
 	}
-	assert.Assert(t, !c.impaired(), "one target is asked again and again")
+	assert.Assert(t, !c.impaired(), "one target is connected to again and again")
 	for i := range connectSamples {
 		c.record(name(i), saturatedConnect)
 	}
 	assert.Assert(t, c.impaired(), "all are slow")
 	assert.Equal(t, c.excess(), 1.0)
 	clock.Advance(connectSampleTTL)
-	assert.Equal(t, c.excess(), 0.0, "what is long ago says nothing, so that some are tried again")
+	assert.Equal(t, c.excess(), 0.0, "old samples do not count, so that some streams are admitted again")
 }
 
-// TestFailedConnectsTakeAnEighthOfObjective has three targets of which
-// none can be reached.
+// TestFailedConnectsTakeAnEighthOfObjective has three targets, all of them unreachable.
 func TestFailedConnectsTakeAnEighthOfObjective(t *testing.T) {
 	var (
 		mu    sync.Mutex
@@ -64,7 +63,8 @@
 	}
 }
 
-// TestRequestOfACallerThatLeftIsNotSent has the caller go while the router connects.
+// TestRequestOfACallerThatLeftIsNotSent has the caller close its connection while the router
+// connects.
 func TestRequestOfACallerThatLeftIsNotSent(t *testing.T) {
 	f := newTarget(t, "t", respondOK)
 	left := make(chan struct{})
--- a/relay/fake_test.go
+++ b/relay/fake_test.go
@@ -27,7 +27,7 @@
 	"zinccove.example/zinccove/route"
 )
 
-// arrival is a request as a target saw it.
+// arrival is a request as a target received it.
 type arrival struct {
 	header fasthttp.RequestHeader
 	body   []byte
@@ -35,8 +35,8 @@
 
 func (a *arrival) id() string { return string(a.header.Peek("Request-Id")) }
 
-// fakeTarget serves each request by a function that writes raw bytes. It
-// returns false to end the connection.
+// fakeTarget serves each request by a function that writes raw bytes. The function returns
+// false to close the connection.
 type fakeTarget struct {
 	id       string
 	listener net.Listener
@@ -117,7 +117,7 @@
 	return f.closed
 }
 
-// text is an answer with a length.
+// text returns a response with a length.
 func text(status int, id, body string, headers ...string) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d X\r\nRequest-Id: %s\r\nContent-Length: %d\r\n", status, id, len(body))
@@ -128,7 +128,7 @@
 	return b.String()
 }
 
-// respond writes an answer with a length.
+// respond writes a response with a length.
 func respond(c net.Conn, status int, id, body string, headers ...string) bool {
 	fmt.Fprint(c, text(status, id, body, headers...))
 	return true
@@ -138,7 +138,7 @@
 
 func respondOK(a *arrival, c net.Conn) bool { return respond(c, 200, a.id(), "answer", seal) }
 
-// beginStream writes the head of a stream; event and endStream follow.
+// beginStream writes the head of a stream; event and endStream write the rest.
 func beginStream(a *arrival, c net.Conn) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", a.id(), seal)
 }
@@ -153,13 +153,13 @@
 	return true
 }
 
-// stallTime is how long callers may take nothing.
+// stallTime is how long callers may read no bytes.
 const stallTime = 400 * time.Millisecond
 
-// testServer is a server before targets.
+// testServer is a server with fake targets.
 type testServer struct {
 	*Server
-	// targets is what the placer was given.
+	// targets are the targets that the placer was given.
 	targets []*roster.Target
 	table   *route.Table
 	fresh   bool
@@ -228,8 +228,8 @@
 	return newTestServerDialling(t, nil, targets...)
 }
 
-// newTestServerDialling returns a site that connects to targets in its own way; nil
-// is the usual one.
+// newTestServerDialling returns a server that connects to targets by a given function; nil
+// selects the default.
 func newTestServerDialling(t testing.TB, dial func(netip.AddrPort, time.Duration) (net.Conn, error), targets ...*fakeTarget) *testServer {
 	t.Helper()
 	s := &testServer{table: newTable(t, testSpec()), fresh: true}
@@ -259,7 +259,7 @@
 	return s
 }
 
-// caller is one connection to a site.
+// caller is one connection to a test server.
 type caller struct {
 	net.Conn
 	r *bufio.Reader
@@ -274,7 +274,7 @@
 	return &caller{Conn: c, r: bufio.NewReader(c)}
 }
 
-// send writes a request with a key, a deadline and more headers.
+// send writes a request with a key, a deadline and further headers.
 func (c *caller) send(method, path, id, body string, headers ...string) {
 	fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: h\r\nRequest-Id: %s\r\nRequest-Deadline: 1500\r\nAuthorization: Bearer %s\r\n", method, path, id, customerKey)
 	for _, h := range headers {
@@ -286,7 +286,7 @@
 	fmt.Fprintf(c, "\r\n%s", body)
 }
 
-// result is an answer as a caller saw it.
+// result is a response as a caller received it.
 type result struct {
 	header fasthttp.ResponseHeader
 	body   string
--- a/relay/flight.go
+++ b/relay/flight.go
@@ -98,7 +98,7 @@
 // serve makes attempts until the request is complete. Streams end later, in their Close.
 func (f *flight) serve(ctx *fasthttp.RequestCtx) {
 	for {
-		ans, fail, r := f.attempt(ctx, "")
+		resp, fail, r := f.attempt(ctx, "")
 		switch {
 		case r != nil:
 			f.refuse(ctx, r)
@@ -109,22 +109,22 @@
 			}
 			f.giveUp(ctx, fail)
 			return
-		case ans.stream != nil:
-			f.writeStream(ctx, ans)
+		case resp.stream != nil:
+			f.writeStream(ctx, resp)
 			return
 		}
-		if f.retryAfterErrorResponse(ans) {
+		if f.retryAfterErrorResponse(resp) {
 			continue
 		}
-		f.writeResponse(ctx, ans)
+		f.writeResponse(ctx, resp)
 		return
 	}
 }
 
 // retryAfterErrorResponse decides whether another target is tried after a response with status
 // 500 and above. If not, the caller gets that response.
-func (f *flight) retryAfterErrorResponse(ans *response) bool {
-	status := ans.header.StatusCode()
+func (f *flight) retryAfterErrorResponse(resp *response) bool {
+	status := resp.header.StatusCode()
 	if status < fasthttp.StatusInternalServerError {
 		return false
 	}
--- a/relay/flood_bench_test.go
+++ b/relay/flood_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// BenchmarkRefusal has a caller connect, send a request of usual size and be refused for
+// BenchmarkRefusal has a caller connect, send a request of usual size and be refused because of
 // the flood of its customer. Caller and router are one process.
 func BenchmarkRefusal(b *testing.B) {
 	s := newTestServer(b)
--- a/relay/lag_test.go
+++ b/relay/lag_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// newTestLag returns a lag whose next look is due now.
+// newTestLag returns a lag whose next tick is due now.
 func newTestLag() (*lag, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	l := &lag{clock: clock}
@@ -47,15 +47,15 @@
 	assert.Equal(t, l.excess(), 0.0)
 }
 
-// TestOverdueTickCountsAsLag has a process that does not come to look at all.
+// TestOverdueTickCountsAsLag has a process that does not run its next tick.
 func TestOverdueTickCountsAsLag(t *testing.T) {
 	l, clock := newTestLag()
 	clock.Advance(time.Minute)
 	assert.Equal(t, l.current(), time.Minute)
 }
 
-// TestBusyRouterRefusesStreamsOnly has a router that is far behind: streams are
-// refused, not run, with when to come back; plain calls cost little and go on.
+// TestBusyRouterRefusesStreamsOnly has a router that is far behind: streams are refused as not
+// run, with a Retry-After; plain requests need little processor time and are still served.
 func TestBusyRouterRefusesStreamsOnly(t *testing.T) {
 	f := newTarget(t, "t", respondOK)
 	s := newTestServer(t, f)
--- a/relay/log.go
+++ b/relay/log.go
@@ -65,10 +65,10 @@
 }
 
 // logNotice begins a line about a notice of the target of the current attempt.
-func (s *Server) logNotice(f *flight, ans *response) *zerolog.Event {
+func (s *Server) logNotice(f *flight, resp *response) *zerolog.Event {
 	t := f.run.Target
 	return s.options.Log.Info().Str("request", f.call.ID).Str("service", f.service).Str("target", t.ID).Time("started", t.Started).
-		Int("status", ans.header.StatusCode()).Dur("targets_age_ms", s.options.View().TargetsAge)
+		Int("status", resp.header.StatusCode()).Dur("targets_age_ms", s.options.View().TargetsAge)
 }
 
 // logRefused logs how a request ended that got no response of a target.
--- a/relay/memory_test.go
+++ b/relay/memory_test.go
@@ -37,11 +37,11 @@
 		assert.Equal(t, c.read().header.StatusCode(), 200, "%d bytes in chunks", size)
 		assert.Assert(t, bytes.Equal(f.received()[len(f.received())-1].body, []byte(body)), "%d bytes in chunks", size)
 	}
-	assert.Equal(t, s.large.reserved.Load(), int64(0), "no room is kept")
+	assert.Equal(t, s.large.reserved.Load(), int64(0), "no memory stays reserved")
 }
 
-// TestLargeBodiesAreRefusedWithoutRoom has other bodies take the memory. The request has
-// not run, and may come back.
+// TestLargeBodiesAreRefusedWithoutRoom has other bodies occupy the memory. The request has not
+// run, and may be retried.
 func TestLargeBodiesAreRefusedWithoutRoom(t *testing.T) {
 	f := newTarget(t, "t", respondOK)
 	s := newTestServer(t, f)
@@ -54,8 +54,8 @@
 	assert.Equal(t, s.large.reserved.Load(), s.large.limit-1000)
 }
 
-// TestChunkedBodiesReserveWhatTheyTake has a body without a length need more than there
-// is room for.
+// TestChunkedBodiesReserveWhatTheyTake has a body without a length that needs more memory than
+// is left.
 func TestChunkedBodiesReserveWhatTheyTake(t *testing.T) {
 	const size = 800_000
 	f := newTarget(t, "t", respondOK)
@@ -83,7 +83,8 @@
 	assert.Equal(t, len(f.received()), 0)
 }
 
-// TestTruncatedBodyReleasesMemory has callers go in the middle of a large body.
+// TestTruncatedBodyReleasesMemory has callers close their connection in the middle of a large
+// body.
 func TestTruncatedBodyReleasesMemory(t *testing.T) {
 	f := newTarget(t, "t", respondOK)
 	s := newTestServer(t, f)
@@ -93,6 +94,6 @@
 		fmt.Fprintf(c, "POST /once/ HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\nAuthorization: Bearer %s\r\nContent-Length: 200000\r\n\r\n%s", customerKey, strings.Repeat("b", 60_000))
 		assert.NilError(t, c.Close())
 	}
-	eventually(t, "room is given back", func() bool { return s.Running() == 0 && s.large.reserved.Load() == 0 })
+	eventually(t, "memory is released", func() bool { return s.Running() == 0 && s.large.reserved.Load() == 0 })
 	assert.Equal(t, len(f.received()), 0)
 }
--- a/relay/notice.go
+++ b/relay/notice.go
@@ -14,19 +14,19 @@
 // A late response to another request on a reused connection also comes from the target. Status
 // 421 comes from another incarnation at its address, and a response to another request on a new
 // connection comes from an unknown sender.
-func (f *flight) recordNotice(c *link.Conn, ans *response) {
-	foreign := ans.info.ID != "" && ans.info.ID != f.call.ID && !c.Reused
-	if foreign || ans.header.StatusCode() == fasthttp.StatusMisdirectedRequest {
+func (f *flight) recordNotice(c *link.Conn, resp *response) {
+	foreign := resp.info.ID != "" && resp.info.ID != f.call.ID && !c.Reused
+	if foreign || resp.header.StatusCode() == fasthttp.StatusMisdirectedRequest {
 		return
 	}
-	f.notice = ans.info.Notice
+	f.notice = resp.info.Notice
 	changes := f.run.Notice(f.notice)
 	if changes.Draining {
 		f.server.options.Metrics.Inc(metric.NoticesLeaving)
-		f.server.logNotice(f, ans).Msg("target says that it leaves")
+		f.server.logNotice(f, resp).Msg("target says that it leaves")
 	}
 	if changes.Backoff > 0 {
 		f.server.options.Metrics.Inc(metric.NoticesBackoff)
-		f.server.logNotice(f, ans).Dur("backoff_ms", changes.Backoff).Msg("target requested a backoff")
+		f.server.logNotice(f, resp).Dur("backoff_ms", changes.Backoff).Msg("target requested a backoff")
 	}
 }
--- a/relay/notice_test.go
+++ b/relay/notice_test.go
@@ -15,8 +15,8 @@
 
 const leaves = "Server-Leaving: 1"
 
-// TestDrainingNoticeIsReadFromEveryResponse has one of two targets say that it leaves, in each
-// kind of answer; no request after that one may reach it.
+// TestDrainingNoticeIsReadFromEveryResponse has one of two targets announce that it is
+// draining, in each kind of response; no request after that one may reach it.
 func TestDrainingNoticeIsReadFromEveryResponse(t *testing.T) {
 	tests := []struct {
 		name, path string
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestNoticeOfAnotherIncarnationIsIgnored has another run answer at the address of a target, and
-// an answer to nobody knows what come on a new connection.
+// TestNoticeOfAnotherIncarnationIsIgnored has another incarnation respond at the address of a
+// target, and a response to an unknown request arrive on a new connection.
 func TestNoticeOfAnotherIncarnationIsIgnored(t *testing.T) {
 	for name, strange := range map[string]func(net.Conn) bool{
 		"another run":     func(c net.Conn) bool { return respond(c, 421, "", "", leaves) },
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestDrainingNoticeIsReadFromLateResponse has the answer to an earlier request come before
+// TestDrainingNoticeIsReadFromLateResponse has the response to an earlier request arrive before
 // the one that is awaited.
 func TestDrainingNoticeIsReadFromLateResponse(t *testing.T) {
 	var n atomic.Int32
@@ -98,8 +98,8 @@
 	assert.Equal(t, s.do(t, "POST", "/once/", "r3", "b").header.StatusCode(), 503)
 }
 
-// TestRequestPlacedBeforeDrainingNoticeIsNotSent has a target say that it leaves while the
-// router connects to it.
+// TestRequestPlacedBeforeDrainingNoticeIsNotSent has a target announce that it is draining
+// while the router connects to it.
 func TestRequestPlacedBeforeDrainingNoticeIsNotSent(t *testing.T) {
 	assertNothingSentAfter(t, func(s *testServer, to netip.AddrPort) {
 		for _, target := range s.targets {
@@ -110,9 +110,9 @@
 	})
 }
 
-// TestTargetInBackoffGetsNoRequests has one target turn a request away and ask for a
-// backoff: the request and all later ones go elsewhere. When both want one, callers are told
-// at once when to come back.
+// TestTargetInBackoffGetsNoRequests has one target refuse a request and request a backoff: the
+// request and all later ones are sent to the other target. When both request a backoff, callers
+// get a Retry-After at once.
 func TestTargetInBackoffGetsNoRequests(t *testing.T) {
 	var all atomic.Bool
 	wants := func(a *arrival, c net.Conn) bool {
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -20,13 +20,13 @@
 		}
 		return changes
 	}
-	assert.Equal(t, play(1, overloadDelay-checkInterval), 0, "a short trouble is none")
+	assert.Equal(t, play(1, overloadDelay-checkInterval), 0, "a short overload does not count")
 	assert.Equal(t, play(0.1, time.Second), 0)
 	assert.Equal(t, play(0.7, time.Second), 1)
 	assert.Assert(t, s.active.Load())
-	assert.Equal(t, play(0, recoveryDelay-2*checkInterval), 0, "it is not back at once")
+	assert.Equal(t, play(0, recoveryDelay-2*checkInterval), 0, "it does not recover at once")
 	play(1, checkInterval)
-	assert.Equal(t, play(0, recoveryDelay-2*checkInterval), 0, "nor after another moment of trouble")
+	assert.Equal(t, play(0, recoveryDelay-2*checkInterval), 0, "nor after another short overload")
 	assert.Equal(t, play(0, recoveryDelay), 1)
 	assert.Assert(t, !s.active.Load())
 }
--- a/relay/path_bench_test.go
+++ b/relay/path_bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// BenchmarkPath passes a call on to a plain target and its answer back, on connections
-// that are kept. Caller, router and target are one process: 104 us for all three.
+// BenchmarkPath passes a request on to a plain target and its response back, on connections
+// that are reused. Caller, router and target are one process: 104 us for all three.
 func BenchmarkPath(b *testing.B) {
 	s := newTestServer(b, newTarget(b, "t", respondOK))
 	s.options.Log = zerolog.New(io.Discard)
--- a/relay/regions_test.go
+++ b/relay/regions_test.go
@@ -8,8 +8,9 @@
 	"zinccove.example/zinccove/place"
 )
 
-// TestRequestsBoundToRegionsRunNowhereElse has routes and a customer bound to a region that
-// no target is in: nothing may reach one, and the answer promises that nothing ran.
+// TestRequestsBoundToRegionsRunNowhereElse has routes and a customer bound to a region that has
+// no targets: no request may reach a target, and the response guarantees that the request did
+// not run.
 func TestRequestsBoundToRegionsRunNowhereElse(t *testing.T) {
 	f := newTarget(t, "t", respondOK)
 	s := newTestServer(t, f)
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -84,9 +84,9 @@
 	assert.Equal(t, calls.Load(), int32(2))
 }
 
-// TestReplacedTargetGetsNoMoreRequests has another run of a target answer at its
-// address. The request goes on elsewhere although its route allows one attempt,
-// and later ones do not go there again.
+// TestReplacedTargetGetsNoMoreRequests has another incarnation of a target respond at its
+// address. The request is sent to another target although its route allows one attempt, and
+// later ones are not sent to that address again.
 func TestReplacedTargetGetsNoMoreRequests(t *testing.T) {
 	replaced := newTarget(t, "t1", func(_ *arrival, c net.Conn) bool { return respond(c, 421, "", "") })
 	s := newTestServer(t, replaced, newTarget(t, "t2", respondOK))
@@ -101,7 +101,8 @@
 	assert.Assert(t, len(replaced.received()) <= 1, "%d requests", len(replaced.received()))
 }
 
-// outcomes are answers of a target and what the caller is told.
+// TestStatusOfFailedRequests checks which status the caller gets for failures of targets, and
+// how many targets are tried.
 func TestStatusOfFailedRequests(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -166,14 +167,14 @@
 	}
 }
 
-// TestTargetThatLeavesBeforeTheRequestIsSentGetsNothing has the store say that a target
-// leaves while the router connects to it.
+// TestTargetThatLeavesBeforeTheRequestIsSentGetsNothing has the store report that a target is
+// draining while the router connects to it.
 func TestTargetThatLeavesBeforeTheRequestIsSentGetsNothing(t *testing.T) {
 	assertNothingSentAfter(t, (*testServer).drain)
 }
 
-// assertNothingSentAfter has something happen to the first target that a request was placed
-// at, while the router connects to it, and holds that only the other one gets the request.
+// assertNothingSentAfter calls happens for the first target that a request was placed at, while
+// the router connects to it, and checks that only the other target gets the request.
 func assertNothingSentAfter(t *testing.T, happens func(*testServer, netip.AddrPort)) {
 	t.Helper()
 	targets := []*fakeTarget{newTarget(t, "t1", respondOK), newTarget(t, "t2", respondOK)}
@@ -328,8 +329,8 @@
 	assert.Equal(t, calls.Load(), int32(2))
 }
 
-// TestErrorResponseAfterDeadlineIsPassedOn is the case of a router that ended
-// by a panic: a repeatable request failed when its time was already up.
+// TestErrorResponseAfterDeadlineIsPassedOn has a repeatable request fail when its time is
+// already up, which once ended a router by a panic.
 func TestErrorResponseAfterDeadlineIsPassedOn(t *testing.T) {
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
 		time.Sleep(30 * time.Millisecond)
@@ -420,14 +421,14 @@
 			call: message.RequestInfo{Deadline: 10 * time.Second, MaxTokens: tokens},
 		}
 	}
-	assert.Assert(t, s.endsInTime(flight(0, route.Stream, 5000)), "no stop")
+	assert.Assert(t, s.endsInTime(flight(0, route.Stream, 5000)), "no shutdown")
 	s.stopped.Store(&began)
 	s.pace.record(&message.RequestInfo{MaxTokens: 100}, 100*time.Millisecond)
-	assert.Assert(t, s.endsInTime(flight(time.Second, route.Stream, 5000)), "the balancer has not noticed")
+	assert.Assert(t, s.endsInTime(flight(time.Second, route.Stream, 5000)), "the balancer has not noticed the shutdown")
 	assert.Assert(t, s.endsInTime(flight(3*time.Second, route.Stream, 70)))
 	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Stream, 90)))
 	assert.Assert(t, !s.endsInTime(flight(5*time.Second, route.Stream, 70)))
-	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Stream, 0)), "no bound is known")
+	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Stream, 0)), "the caller did not limit the tokens")
 	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Once, 0)))
 	s.pace.record(&message.RequestInfo{MaxTokens: 100}, 5*time.Second)
 	assert.Assert(t, !s.endsInTime(flight(3*time.Second, route.Stream, 70)), "streams are slower than that")
@@ -452,8 +453,8 @@
 	assert.Equal(t, calls.Load(), int32(2))
 }
 
-// TestClosedCallersDoNotCountAgainstTarget held a fault that a reader
-// found: attempts ended from outside were counted as failures of the target.
+// TestClosedCallersDoNotCountAgainstTarget guards against a fault: attempts that were ended by
+// the caller were counted as failures of the target.
 func TestClosedCallersDoNotCountAgainstTarget(t *testing.T) {
 	serve := func(a *arrival, c net.Conn) bool {
 		if a.id() == "leaves" {
@@ -489,8 +490,8 @@
 	}
 }
 
-// TestRequestWhoseTimeIsUpIsNotSent has the router stand still while it connects, as it does
-// when its host is suspended: no timer fired, and the caller has given up.
+// TestRequestWhoseTimeIsUpIsNotSent has the router stop while it connects, as it does when its
+// host is suspended: no timer fired, and the caller has given up.
 func TestRequestWhoseTimeIsUpIsNotSent(t *testing.T) {
 	f := newTarget(t, "t", respondOK)
 	s := newTestServerDialling(t, func(to netip.AddrPort, _ time.Duration) (net.Conn, error) {
--- a/relay/response.go
+++ b/relay/response.go
@@ -7,28 +7,28 @@
 )
 
 // writeResponse hands a complete response to fasthttp, which sends it to the caller.
-func (f *flight) writeResponse(ctx *fasthttp.RequestCtx, ans *response) {
-	f.copyHead(ctx, ans)
-	ctx.Response.SetBodyRaw(ans.body)
+func (f *flight) writeResponse(ctx *fasthttp.RequestCtx, resp *response) {
+	f.copyHead(ctx, resp)
+	ctx.Response.SetBodyRaw(resp.body)
 	f.setWriteDeadline()
 	f.lifecycle.Answer()
 	f.server.options.Metrics.Inc(metric.RequestsAnswered)
-	f.server.logAnswered(f, ans.header.StatusCode())
+	f.server.logAnswered(f, resp.header.StatusCode())
 	f.server.unregister(f)
 }
 
 // writeStream passes the events of a stream on as they arrive. Fasthttp reads the stream after
 // the handler returned, and closes it.
-func (f *flight) writeStream(ctx *fasthttp.RequestCtx, ans *response) {
-	f.copyHead(ctx, ans)
+func (f *flight) writeStream(ctx *fasthttp.RequestCtx, resp *response) {
+	f.copyHead(ctx, resp)
 	f.clearWriteDeadline()
-	ans.stream.caller = ctx
-	ctx.Response.SetBodyStream(ans.stream, ans.stream.size)
+	resp.stream.caller = ctx
+	ctx.Response.SetBodyStream(resp.stream, resp.stream.size)
 }
 
 // copyHead copies the status and headers of a response.
-func (f *flight) copyHead(ctx *fasthttp.RequestCtx, ans *response) {
+func (f *flight) copyHead(ctx *fasthttp.RequestCtx, resp *response) {
 	ctx.Response.Header.SetNoDefaultContentType(true)
-	ctx.SetStatusCode(ans.header.StatusCode())
-	f.server.options.Codec.CopyResponse(&ctx.Response.Header, &ans.header)
+	ctx.SetStatusCode(resp.header.StatusCode())
+	f.server.options.Codec.CopyResponse(&ctx.Response.Header, &resp.header)
 }
--- a/relay/stall_test.go
+++ b/relay/stall_test.go
@@ -17,12 +17,12 @@
 const (
 	largeBytes = 24 << 20
 	stalled    = 40
-	// passedBytes is the size of answers that are passed on within the time of a request, also
-	// under the race detector.
+	// passedBytes is the size of responses that can be passed on within the time of a request,
+	// also under the race detector.
 	passedBytes = 2 << 20
 )
 
-// writeLarge writes an answer of a size and counts what it got rid of.
+// writeLarge writes a response of a size and counts the bytes that were written.
 func writeLarge(a *arrival, c net.Conn, size int, written *atomic.Int64, chunked bool) bool {
 	framing := fmt.Sprintf("Content-Length: %d", size)
 	if chunked {
@@ -47,8 +47,8 @@
 	return true
 }
 
-// TestLargeAnswersArePassedOnWhole passes on answers larger than what is kept, with a length
-// and in chunks, twice on the same connections.
+// TestLargeAnswersArePassedOnWhole passes on responses larger than what is buffered, with a
+// length and in chunks, twice on the same connections.
 func TestLargeAnswersArePassedOnWhole(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		var written atomic.Int64
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestLargeAnswersThatBreakDoNotLookComplete has a target break off in the middle.
+// TestLargeAnswersThatBreakDoNotLookComplete has a target close its connection in the middle.
 func TestLargeAnswersThatBreakDoNotLookComplete(t *testing.T) {
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\nContent-Length: %d\r\n\r\n%s", a.id(), seal, largeBytes, strings.Repeat("x", 2*maxBufferedResponse))
@@ -74,11 +74,12 @@
 	s := newTestServer(t, f)
 	res := s.do(t, "POST", "/repeat/", "r", "b")
 	assert.Assert(t, res.err != nil)
-	assert.Equal(t, len(f.received()), 1, "what was begun is not sent again")
+	assert.Equal(t, len(f.received()), 1, "a request whose response has begun is not sent again")
 }
 
-// TestStalledCallersOccupyLittleMemory has callers that ask for large answers and read
-// nothing: what is kept for them is bounded, and after the stall time they are cut off.
+// TestStalledCallersOccupyLittleMemory has callers that request large responses and read
+// nothing: the memory for them is bounded, and after the stall time their connections are
+// closed.
 func TestStalledCallersOccupyLittleMemory(t *testing.T) {
 	var written atomic.Int64
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool { return writeLarge(a, c, largeBytes, &written, false) })
@@ -89,20 +90,20 @@
 		callers[i] = s.dial(t)
 		callers[i].send("POST", "/once/", fmt.Sprint("r", i), "b")
 	}
-	eventually(t, "all are on their way", func() bool { return len(f.received()) == stalled })
+	eventually(t, "all have reached the target", func() bool { return len(f.received()) == stalled })
 	time.Sleep(stallTime / 2)
-	const most = stalled * 2 * connectionBytes // this process also has the other ends
+	const most = stalled * 2 * connectionBytes // this process also has the other ends of the connections
 	kept := heapBytes() - before
 	assert.Assert(t, kept < most, "%d bytes are kept for %d callers", kept, stalled)
-	eventually(t, "all are cut off", func() bool { return s.Running() == 0 })
+	eventually(t, "all requests are ended", func() bool { return s.Running() == 0 })
 	for _, c := range callers {
 		n, err := io.Copy(io.Discard, c.r)
-		assert.Assert(t, err != nil || n < largeBytes, "cut off, not answered")
+		assert.Assert(t, err != nil || n < largeBytes, "the connection is closed before the response is complete")
 	}
 }
 
-// TestStalledCallersAreClosedAfterDeadline has the deadline of a caller that takes nothing end
-// before the stall time.
+// TestStalledCallersAreClosedAfterDeadline has a caller that reads nothing and whose deadline
+// ends before the stall time.
 func TestStalledCallersAreClosedAfterDeadline(t *testing.T) {
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
 		var written atomic.Int64
@@ -111,8 +112,8 @@
 	s := newTestServer(t, f)
 	c := s.dial(t)
 	fmt.Fprintf(c, "GET /once/ HTTP/1.1\r\nHost: h\r\nRequest-Id: r\r\nRequest-Deadline: 50\r\nAuthorization: Bearer %s\r\n\r\n", customerKey)
-	eventually(t, "it is on its way", func() bool { return len(f.received()) == 1 })
-	eventually(t, "it is cut off", func() bool { return s.Running() == 0 })
+	eventually(t, "it has reached the target", func() bool { return len(f.received()) == 1 })
+	eventually(t, "it is ended", func() bool { return s.Running() == 0 })
 }
 
 // TestSlowCallersAreNotCut has a caller that reads in small steps, each well within the
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -21,7 +21,7 @@
 	flight *flight
 	caller *fasthttp.RequestCtx
 	link   *link.Conn
-	answer *response
+	resp   *response
 	body   *body
 	sent   *sendState
 	// large reports that the response has no events; size is its length, -1 if that is unknown.
@@ -55,18 +55,18 @@
 	errStalled      = eris.New("caller read no bytes of its response")
 )
 
-func newStream(f *flight, c *link.Conn, ans *response, b *body, sent *sendState) *stream {
-	return &stream{flight: f, link: c, answer: ans, body: b, sent: sent, size: unknownSize, buffer: make([]byte, 0, eventBuffer)}
+func newStream(f *flight, c *link.Conn, resp *response, b *body, sent *sendState) *stream {
+	return &stream{flight: f, link: c, resp: resp, body: b, sent: sent, size: unknownSize, buffer: make([]byte, 0, eventBuffer)}
 }
 
 // unknownSize makes fasthttp send a body in chunks.
 const unknownSize = -1
 
 // newLarge returns the stream of a large response that begins with the bytes read so far.
-func newLarge(f *flight, c *link.Conn, ans *response, b *body, sent *sendState, begin []byte) *stream {
-	s := newStream(f, c, ans, b, sent)
+func newLarge(f *flight, c *link.Conn, resp *response, b *body, sent *sendState, begin []byte) *stream {
+	s := newStream(f, c, resp, b, sent)
 	s.large, s.buffer, s.ready = true, begin, len(begin)
-	if n := ans.header.ContentLength(); n >= 0 {
+	if n := resp.header.ContentLength(); n >= 0 {
 		s.size = n
 	}
 	if b.ended() {
@@ -178,7 +178,7 @@
 	s.flight.run.End(place.Answered)
 	s.flight.recordOutcome(rollout.Answer{Took: s.flight.sinceSent(), Size: float64(s.events + firstEventSize)})
 	s.flight.clear(s.body)
-	s.flight.releaseConn(s.link, s.answer, s.body, s.sent)
+	s.flight.releaseConn(s.link, s.resp, s.body, s.sent)
 }
 
 // recoverOrFail resumes a broken stream at another target, or ends it.
@@ -189,20 +189,20 @@
 	f.recordLoss(fail, s.began)
 	f.recordFailure(fail)
 	for !s.large && f.retryAfterFailure(fail) {
-		ans, again, r := f.attempt(s.caller, s.lastEvent)
+		resp, nextFail, r := f.attempt(s.caller, s.lastEvent)
 		if r != nil {
 			f.lifecycle.GiveUp(false)
 			break
 		}
-		if again != nil {
-			fail = again
+		if nextFail != nil {
+			fail = nextFail
 			continue
 		}
-		if ans.stream == nil {
-			fail = f.fail(target.Broken, ans.header.StatusCode(), errOutcomeUnknown, "resume stream")
+		if resp.stream == nil {
+			fail = f.fail(target.Broken, resp.header.StatusCode(), errOutcomeUnknown, "resume stream")
 			continue
 		}
-		s.resume(ans)
+		s.resume(resp)
 		return
 	}
 	s.err = fail
@@ -210,9 +210,9 @@
 
 // resume continues with the response of another target. The bytes of an incomplete event are
 // dropped; the other target sends that event again.
-func (s *stream) resume(ans *response) {
+func (s *stream) resume(resp *response) {
 	s.flight.server.options.Metrics.Inc(metric.StreamsResumed)
-	s.link, s.answer, s.body, s.sent = ans.stream.link, ans, ans.stream.body, ans.stream.sent
+	s.link, s.resp, s.body, s.sent = resp.stream.link, resp, resp.stream.body, resp.stream.sent
 	s.buffer = s.buffer[:s.ready]
 	s.began, s.events = false, 0
 }
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// newCrashingTarget returns a target that answers all requests but those with a body, under which it
-// ends.
+// newCrashingTarget returns a target that responds to all requests except those with a given
+// body, which end it.
 func newCrashingTarget(t *testing.T, id, body string) *fakeTarget {
 	var f *fakeTarget
 	f = newTarget(t, id, func(a *arrival, c net.Conn) bool {
@@ -24,9 +24,9 @@
 }
 
 // TestRequestUnderWhichTargetsEndedIsRefused sends a request that ends its targets ten times,
-// under ten ids. It reached 10 targets, and 20 on routes that may be repeated. Two may end
-// under it, within one try or two; then it is refused at once as not run, without a time to
-// come back. A request that goes on at a second target and ends that one too may have run.
+// with ten IDs. Without a limit it reached 10 targets, and 20 on repeatable routes. Two may end
+// under it, within one attempt or two; then it is refused at once as not run, without a
+// Retry-After. A request that is resumed at a second target and ends that one too may have run.
 func TestRequestUnderWhichTargetsEndedIsRefused(t *testing.T) {
 	for _, path := range []string{"/once/", "/repeat/", "/model/", "/resume/"} {
 		t.Run(path, func(t *testing.T) {
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestInvalidResponsesDoNotBarRequests has targets answer with what cannot be read, or
-// with another request's answer: that says nothing of the request.
+// TestInvalidResponsesDoNotBarRequests has targets send responses that cannot be parsed, or
+// that belong to another request: that is no evidence about the request.
 func TestInvalidResponsesDoNotBarRequests(t *testing.T) {
 	spoils := map[string]func(*arrival, net.Conn) bool{
 		"not an answer":      func(_ *arrival, c net.Conn) bool { fmt.Fprint(c, "rubbish\r\n\r\n"); return false },
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestRequestThatIsAnsweredIsNotBarred has each second target begin to end under a request
-// that many callers send, and the others go on answering it.
+// TestRequestThatIsAnsweredIsNotBarred has each second target begin to end under a request that
+// many callers send, while the others continue to respond to it.
 func TestRequestThatIsAnsweredIsNotBarred(t *testing.T) {
 	var bad atomic.Bool
 	serve := func(a *arrival, c net.Conn) bool { return !bad.Load() && respondOK(a, c) }
--- a/relay/throttle_test.go
+++ b/relay/throttle_test.go
@@ -9,30 +9,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// smallHost is a host whose processor carries so much: each stream and each refusal is
-// work, and whatever a stream does waits for the work before it.
+// smallHost is a host with a bounded processor: each stream and each refusal takes processor
+// time, and each step of a stream waits for the work before it.
 type smallHost struct {
-	clock    *clockwork.FakeClock
-	random   *rand.Rand
-	connects connectHistory
-	throttle throttle
-	// free is when all work that waits is done; due are the times at which streams that
-	// were taken are on their way.
+	clock          *clockwork.FakeClock
+	random         *rand.Rand
+	connectHistory connectHistory
+	throttle       throttle
+	// free is when all waiting work is done; due are the times at which admitted streams are
+	// dispatched.
 	free time.Time
 	due  []time.Time
-	// carried counts streams whose connection came in time, late the others.
-	carried, late, refused int
+	// served counts streams whose connection was opened in time, late the others.
+	served, late, refused int
 }
 
 const (
-	// streamWork and refusalWork are what 0.192 cores need for them.
+	// streamWork and refusalWork are the times that 0.192 cores need for them.
 	streamWork  = 8 * time.Millisecond
 	refusalWork = 500 * time.Microsecond
 )
 
-// flood plays so many streams a second for a time.
+// flood simulates a rate of streams per second for a time.
 func (h *smallHost) flood(rate int, d time.Duration) {
-	h.carried, h.late, h.refused = 0, 0, 0
+	h.served, h.late, h.refused = 0, 0, 0
 	for ms := range d.Milliseconds() {
 		if h.random.Float64() < float64(rate)/1000 {
 			h.arrive()
@@ -42,13 +42,13 @@
 			h.throttle.dispatched()
 		}
 		if time.Duration(ms)*time.Millisecond%checkInterval == 0 {
-			h.throttle.adjust(h.connects.excess(), h.clock.Now())
+			h.throttle.adjust(h.connectHistory.excess(), h.clock.Now())
 		}
 		h.clock.Advance(time.Millisecond)
 	}
 }
 
-// behind is how much work waits.
+// behind returns the duration of the waiting work.
 func (h *smallHost) behind() time.Duration { return max(h.free.Sub(h.clock.Now()), 0) }
 
 // work adds work and returns when it is done.
@@ -65,9 +65,9 @@
 	}
 	took := h.behind() + time.Millisecond
 	h.due = append(h.due, h.work(streamWork))
-	h.connects.record(string(rune('a'+h.random.IntN(26))), min(took, 100*time.Millisecond))
+	h.connectHistory.record(string(rune('a'+h.random.IntN(26))), min(took, 100*time.Millisecond))
 	if took < 150*time.Millisecond {
-		h.carried++
+		h.served++
 	} else {
 		h.late++
 	}
@@ -75,12 +75,12 @@
 
 func newSmallHost() *smallHost {
 	clock := clockwork.NewFakeClock()
-	return &smallHost{clock: clock, random: rand.New(rand.NewPCG(3, 4)), connects: connectHistory{clock: clock}}
+	return &smallHost{clock: clock, random: rand.New(rand.NewPCG(3, 4)), connectHistory: connectHistory{clock: clock}}
 }
 
-// TestFloodIsAdmittedUpToCapacity replays 590 streams a second at a host that
-// carries about 90 beside the refusals. Refusals that follow the trouble of the moment
-// carried fewer than half of them in time, and fell a second behind.
+// TestFloodIsAdmittedUpToCapacity simulates 590 streams per second at a host with capacity for
+// about 90 beside the refusals. Refusals in proportion to the overload of the moment served
+// fewer than half of them in time, and fell a second behind.
 func TestFloodIsAdmittedUpToCapacity(t *testing.T) {
 	h := newSmallHost()
 	h.flood(20, 2*time.Second)
@@ -90,15 +90,15 @@
 	for range 10 {
 		h.flood(590, time.Second)
 		most = max(most, h.behind())
-		assert.Assert(t, h.carried >= 45, "%d carried, %d late", h.carried, h.late)
-		assert.Assert(t, h.late <= 10, "%d carried, %d late", h.carried, h.late)
+		assert.Assert(t, h.served >= 45, "%d carried, %d late", h.served, h.late)
+		assert.Assert(t, h.late <= 10, "%d carried, %d late", h.served, h.late)
 	}
 	assert.Assert(t, most < 200*time.Millisecond, most)
 	h.flood(20, 6*time.Second)
-	assert.Equal(t, h.throttle.rate, 0.0, "no bound is left when the flood is over")
+	assert.Equal(t, h.throttle.rate, 0.0, "the rate limit is removed after the flood")
 }
 
-// TestShortTroubleCostsLittle has a host stand still for a moment at usual load.
+// TestShortTroubleCostsLittle has a host stop for a moment at usual load.
 func TestShortTroubleCostsLittle(t *testing.T) {
 	h := newSmallHost()
 	h.flood(30, time.Second)
@@ -109,8 +109,8 @@
 	assert.Assert(t, h.refused <= 12, "%d of 120 refused", h.refused)
 }
 
-// TestSmallCustomersAreTakenBesideAFlood has 20 streams a second of another customer
-// arrive at a host that refuses most of a flood.
+// TestSmallCustomersAreTakenBesideAFlood has 20 streams per second of another customer arrive
+// at a host that refuses most of a flood.
 func TestSmallCustomersAreTakenBesideAFlood(t *testing.T) {
 	h := newSmallHost()
 	h.flood(590, 5*time.Second)
@@ -126,8 +126,8 @@
 	assert.Assert(t, refused <= 2, "%d of 40 refused", refused)
 }
 
-// TestPausesCostNothingAtUsualLoad has the host of a router with ten streams a second
-// stand still for a moment again and again, as a collector of memory does.
+// TestPausesCostNothingAtUsualLoad has the host of a router with ten streams per second stop
+// for a moment repeatedly, as a garbage collector makes it do.
 func TestPausesCostNothingAtUsualLoad(t *testing.T) {
 	h := newSmallHost()
 	for range 10 {
