--- a/quarantine/gossip.go
+++ b/quarantine/gossip.go
@@ -11,11 +11,11 @@
 func (l *List) NextHeartbeat() *zinccovev1.Heartbeat {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	told := l.nextSuspects()
-	if len(told) == 0 {
+	suspects := l.nextSuspects()
+	if len(suspects) == 0 {
 		return nil
 	}
-	return &zinccovev1.Heartbeat{Suspects: told}
+	return &zinccovev1.Heartbeat{Suspects: suspects}
 }
 
 func (l *List) nextSuspects() []*zinccovev1.Suspect {
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -106,7 +106,7 @@
 var (
 	errInterrupted    = eris.New("request was cancelled before it was sent")
 	errDeclined       = eris.New("target stopped accepting requests before the request was sent")
-	errCallerLeft     = eris.New("caller closed the connection before the request was sent")
+	errCallerClosed   = eris.New("caller closed the connection before the request was sent")
 	errUnsigned       = eris.New("response has no signature")
 	errMismatchedID   = eris.New("response has the ID of another request")
 	errReplaced       = eris.New("response comes from another incarnation of the target")
--- a/relay/connect.go
+++ b/relay/connect.go
@@ -95,7 +95,7 @@
 	if callerClosed(f) {
 		f.interrupt(causeCallerClosed)
 		f.run.End(place.Withdrawn)
-		return errCallerLeft
+		return errCallerClosed
 	}
 	if f.run.Declines() {
 		// A target that accepts no requests has not failed. The End in attempt has no effect
--- a/relay/connect_test.go
+++ b/relay/connect_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestRequestOfACallerThatLeftIsNotSent has the caller close its connection while the router
+// TestRequestOfClosedCallerIsNotSent has the caller close its connection while the router
 // connects.
-func TestRequestOfACallerThatLeftIsNotSent(t *testing.T) {
+func TestRequestOfClosedCallerIsNotSent(t *testing.T) {
 	f := newTarget(t, "t", respondOK)
 	left := make(chan struct{})
 	dialling := make(chan struct{}, 8)
--- a/relay/memory_test.go
+++ b/relay/memory_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// TestBodiesOfAllSizesArriveWhole sends bodies with a length and in chunks.
-func TestBodiesOfAllSizesArriveWhole(t *testing.T) {
+// TestBodiesOfAllSizesArriveComplete sends bodies with a length and in chunks.
+func TestBodiesOfAllSizesArriveComplete(t *testing.T) {
 	f := newTarget(t, "t", respondOK)
 	s := newTestServer(t, f)
 	for i, size := range []int{0, 1, 17_000, maxBufferedBody - 1, maxBufferedBody, maxBufferedBody + 1, 400_000, s.options.Limits.BodyBytes} {
@@ -40,9 +40,9 @@
 	assert.Equal(t, s.large.reserved.Load(), int64(0), "no memory stays reserved")
 }
 
-// TestLargeBodiesAreRefusedWithoutRoom has other bodies occupy the memory. The request has not
+// TestLargeBodiesAboveMemoryLimitAreRefused has other bodies occupy the memory. The request has not
 // run, and may be retried.
-func TestLargeBodiesAreRefusedWithoutRoom(t *testing.T) {
+func TestLargeBodiesAboveMemoryLimitAreRefused(t *testing.T) {
 	f := newTarget(t, "t", respondOK)
 	s := newTestServer(t, f)
 	assert.Assert(t, s.large.reserve(s.large.limit-1000))
--- a/relay/notice_test.go
+++ b/relay/notice_test.go
@@ -13,7 +13,7 @@
 	"zinccove.example/zinccove/place"
 )
 
-const leaves = "Server-Leaving: 1"
+const drainingHeader = "Server-Leaving: 1"
 
 // TestDrainingNoticeIsReadFromEveryResponse has one of two targets announce that it is
 // draining, in each kind of response; no request after that one may reach it.
@@ -22,19 +22,21 @@
 		name, path string
 		serve      func(*arrival, net.Conn) bool
 	}{
-		{"whole", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 200, a.id(), "x", seal, leaves) }},
-		{"not found", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 404, a.id(), "x", seal, leaves) }},
-		{"fault", "/repeat/", func(a *arrival, c net.Conn) bool { return respond(c, 500, a.id(), "x", seal, leaves) }},
-		{"refusal", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 503, a.id(), "", "Not-Executed: 1", leaves) }},
-		{"refusal without an id", "/once/", func(_ *arrival, c net.Conn) bool { return respond(c, 503, "", "", "Not-Executed: 1", leaves) }},
-		{"no promise", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 503, a.id(), "", leaves) }},
-		{"unsigned", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 200, a.id(), "x", leaves) }},
+		{"whole", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 200, a.id(), "x", seal, drainingHeader) }},
+		{"not found", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 404, a.id(), "x", seal, drainingHeader) }},
+		{"fault", "/repeat/", func(a *arrival, c net.Conn) bool { return respond(c, 500, a.id(), "x", seal, drainingHeader) }},
+		{"refusal", "/once/", func(a *arrival, c net.Conn) bool {
+			return respond(c, 503, a.id(), "", "Not-Executed: 1", drainingHeader)
+		}},
+		{"refusal without an id", "/once/", func(_ *arrival, c net.Conn) bool { return respond(c, 503, "", "", "Not-Executed: 1", drainingHeader) }},
+		{"no promise", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 503, a.id(), "", drainingHeader) }},
+		{"unsigned", "/once/", func(a *arrival, c net.Conn) bool { return respond(c, 200, a.id(), "x", drainingHeader) }},
 		{"cut body", "/once/", func(a *arrival, c net.Conn) bool {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\n%s\r\nContent-Length: 9\r\n\r\nx", a.id(), seal, leaves)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\n%s\r\nContent-Length: 9\r\n\r\nx", a.id(), seal, drainingHeader)
 			return false
 		}},
 		{"stream", "/model/", func(a *arrival, c net.Conn) bool {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\n%s\r\nTransfer-Encoding: chunked\r\n\r\n", a.id(), seal, leaves)
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\n%s\r\nTransfer-Encoding: chunked\r\n\r\n", a.id(), seal, drainingHeader)
 			event(c, 1)
 			return endStream(c)
 		}},
@@ -68,8 +70,8 @@
 // target, and a response to an unknown request arrive on a new connection.
 func TestNoticeOfAnotherIncarnationIsIgnored(t *testing.T) {
 	for name, strange := range map[string]func(net.Conn) bool{
-		"another run":     func(c net.Conn) bool { return respond(c, 421, "", "", leaves) },
-		"another request": func(c net.Conn) bool { return respond(c, 200, "other", "x", seal, leaves) },
+		"another run":     func(c net.Conn) bool { return respond(c, 421, "", "", drainingHeader) },
+		"another request": func(c net.Conn) bool { return respond(c, 200, "other", "x", seal, drainingHeader) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newTarget(t, "t1", func(_ *arrival, c net.Conn) bool { return strange(c) })
@@ -86,7 +88,7 @@
 	var n atomic.Int32
 	f := newTarget(t, "t1", func(a *arrival, c net.Conn) bool {
 		if n.Add(1) == 2 {
-			respond(c, 200, "earlier", "x", seal, leaves)
+			respond(c, 200, "earlier", "x", seal, drainingHeader)
 		}
 		return respondOK(a, c)
 	})
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -71,7 +71,7 @@
 	assert.Assert(t, len(res.header.Peek("Retry-After")) > 0)
 }
 
-func TestTargetThatDidNotRunIsFollowedByAnother(t *testing.T) {
+func TestRequestNotRunIsRetriedAtAnotherTarget(t *testing.T) {
 	var calls atomic.Int32
 	serve := func(a *arrival, c net.Conn) bool {
 		if calls.Add(1) == 1 {
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestUnreachableTargetsAreNotRun(t *testing.T) {
+func TestRequestWithoutReachableTargetIsNotRun(t *testing.T) {
 	f := newTarget(t, "t", respondOK)
 	f.listener.Close()
 	s := newTestServer(t, f)
@@ -167,9 +167,9 @@
 	}
 }
 
-// TestTargetThatLeavesBeforeTheRequestIsSentGetsNothing has the store report that a target is
+// TestTargetDrainingBeforeSendGetsNoRequest has the store report that a target is
 // draining while the router connects to it.
-func TestTargetThatLeavesBeforeTheRequestIsSentGetsNothing(t *testing.T) {
+func TestTargetDrainingBeforeSendGetsNoRequest(t *testing.T) {
 	assertNothingSentAfter(t, (*testServer).drain)
 }
 
@@ -225,7 +225,7 @@
 	eventually(t, "connections with extra bytes are closed", func() bool { return f.closedConns() >= 1 })
 }
 
-func TestAnswerThatEndsWithItsConnection(t *testing.T) {
+func TestResponseThatEndsWithItsConnection(t *testing.T) {
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\nConnection: close\r\n\r\nuntil the end", a.id(), seal)
 		if a.id() == "reset" {
@@ -239,7 +239,7 @@
 	assert.Equal(t, s.do(t, "POST", "/once/", "reset", "b").header.StatusCode(), 502)
 }
 
-func TestTargetThatAnswersBeforeItReadsALongBody(t *testing.T) {
+func TestResponseBeforeLongBodyIsRead(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	var g errgroup.Group
@@ -344,7 +344,7 @@
 	assert.Equal(t, s.do(t, "GET", "/public/", "r2", "").header.StatusCode(), 500, "the server still serves")
 }
 
-func TestCallerThatLeavesEndsTheWork(t *testing.T) {
+func TestClosedCallerEndsItsRequest(t *testing.T) {
 	for _, path := range []string{"/once/", "/model/"} {
 		t.Run(path, func(t *testing.T) {
 			began := make(chan struct{})
@@ -369,7 +369,7 @@
 	}
 }
 
-func TestTimeLimitIsHeldTo(t *testing.T) {
+func TestTimeLimitIsEnforced(t *testing.T) {
 	f := newTarget(t, "t", func(_ *arrival, c net.Conn) bool { c.Read(make([]byte, 1)); return false })
 	s := newTestServer(t, f)
 	c := s.dial(t)
@@ -387,7 +387,7 @@
 	assert.Assert(t, time.Since(sent) < 700*time.Millisecond)
 }
 
-func TestStopEndsWhatRunsAndRefusesLateStreams(t *testing.T) {
+func TestShutdownCompletesRunningRequestsAndRefusesLateStreams(t *testing.T) {
 	release := make(chan struct{})
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
 		<-release
@@ -482,7 +482,7 @@
 	assert.Assert(t, got > 0 && got < asked, "both targets are used: %d of %d", got, asked)
 }
 
-func TestOutcomesAreCountedApart(t *testing.T) {
+func TestOutcomesAreCountedSeparately(t *testing.T) {
 	for status, want := range map[int]metric.Counter{
 		502: metric.RequestsUnknown, 504: metric.RequestsUnknown, 429: metric.RequestsNotRun, 503: metric.RequestsNotRun, 404: metric.RequestsNotRun,
 	} {
--- a/relay/stall_test.go
+++ b/relay/stall_test.go
@@ -47,9 +47,9 @@
 	return true
 }
 
-// TestLargeAnswersArePassedOnWhole passes on responses larger than what is buffered, with a
+// TestLargeResponsesArePassedOnComplete passes on responses larger than what is buffered, with a
 // length and in chunks, twice on the same connections.
-func TestLargeAnswersArePassedOnWhole(t *testing.T) {
+func TestLargeResponsesArePassedOnComplete(t *testing.T) {
 	for _, chunked := range []bool{false, true} {
 		var written atomic.Int64
 		f := newTarget(t, "t", func(a *arrival, c net.Conn) bool { return writeLarge(a, c, passedBytes, &written, chunked) })
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestLargeAnswersThatBreakDoNotLookComplete has a target close its connection in the middle.
-func TestLargeAnswersThatBreakDoNotLookComplete(t *testing.T) {
+// TestBrokenLargeResponsesDoNotLookComplete has a target close its connection in the middle.
+func TestBrokenLargeResponsesDoNotLookComplete(t *testing.T) {
 	f := newTarget(t, "t", func(a *arrival, c net.Conn) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\n%s\r\nContent-Length: %d\r\n\r\n%s", a.id(), seal, largeBytes, strings.Repeat("x", 2*maxBufferedResponse))
 		return false
--- a/relay/throttle_test.go
+++ b/relay/throttle_test.go
@@ -90,16 +90,16 @@
 	for range 10 {
 		h.flood(590, time.Second)
 		most = max(most, h.behind())
-		assert.Assert(t, h.served >= 45, "%d carried, %d late", h.served, h.late)
-		assert.Assert(t, h.late <= 10, "%d carried, %d late", h.served, h.late)
+		assert.Assert(t, h.served >= 45, "%d served, %d late", h.served, h.late)
+		assert.Assert(t, h.late <= 10, "%d served, %d late", h.served, h.late)
 	}
 	assert.Assert(t, most < 200*time.Millisecond, most)
 	h.flood(20, 6*time.Second)
 	assert.Equal(t, h.throttle.rate, 0.0, "the rate limit is removed after the flood")
 }
 
-// TestShortTroubleCostsLittle has a host stop for a moment at usual load.
-func TestShortTroubleCostsLittle(t *testing.T) {
+// TestShortOverloadCausesFewRefusals has a host stop for a moment at usual load.
+func TestShortOverloadCausesFewRefusals(t *testing.T) {
 	h := newSmallHost()
 	h.flood(30, time.Second)
 	h.work(200 * time.Millisecond)
@@ -109,9 +109,9 @@
 	assert.Assert(t, h.refused <= 12, "%d of 120 refused", h.refused)
 }
 
-// TestSmallCustomersAreTakenBesideAFlood has 20 streams per second of another customer arrive
+// TestSmallCustomersAreAdmittedDuringFlood has 20 streams per second of another customer arrive
 // at a host that refuses most of a flood.
-func TestSmallCustomersAreTakenBesideAFlood(t *testing.T) {
+func TestSmallCustomersAreAdmittedDuringFlood(t *testing.T) {
 	h := newSmallHost()
 	h.flood(590, 5*time.Second)
 	refused := 0
@@ -126,9 +126,9 @@
 	assert.Assert(t, refused <= 2, "%d of 40 refused", refused)
 }
 
-// TestPausesCostNothingAtUsualLoad has the host of a router with ten streams per second stop
+// TestPausesCauseNoRefusalsAtUsualLoad has the host of a router with ten streams per second stop
 // for a moment repeatedly, as a garbage collector makes it do.
-func TestPausesCostNothingAtUsualLoad(t *testing.T) {
+func TestPausesCauseNoRefusalsAtUsualLoad(t *testing.T) {
 	h := newSmallHost()
 	for range 10 {
 		h.flood(10, 2*time.Second)
