--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	back    = 2 * time.Second
-	renewal = time.Second
+	returnTimeout   = 2 * time.Second
+	renewalInterval = time.Second
 )
 
 func newTestRoster() (*Roster, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
-	r := New(Options{Clock: clock, ReturnTimeout: back, RenewalInterval: renewal})
+	r := New(Options{Clock: clock, ReturnTimeout: returnTimeout, RenewalInterval: renewalInterval})
 	r.Replace([]Target{{ID: "a", Revision: at(1)}, {ID: "b", Revision: at(2)}}, at(2))
 	return r, clock
 }
 
-// at is a revision of the first era.
+// at returns a revision of the first era.
 func at(count uint64) revision.Revision { return revision.Revision{Count: count} }
 
 func expired(r *Roster) []Termination {
@@ -38,7 +38,7 @@
 	return list
 }
 
-// removed reports whether a target is gone whose entry went.
+// removed reports whether a target ended by the removal of its entry.
 func removed(r *Roster, id string, version uint64) bool {
 	_, left := r.Remove(id, at(version), 0)
 	return left
@@ -49,9 +49,9 @@
 	assert.Assert(t, !removed(r, "a", 3))
 	assert.Assert(t, !removed(r, "b", 4))
 	assert.DeepEqual(t, ids(r), []string{"a", "b"})
-	clock.Advance(renewal / 2)
+	clock.Advance(renewalInterval / 2)
 	r.Put(Target{ID: "b", Revision: at(7)})
-	clock.Advance(renewal / 2)
+	clock.Advance(renewalInterval / 2)
 	assert.DeepEqual(t, expired(r), []Termination{{ID: "a", Incarnation: "a", Revision: at(3)}})
 	assert.DeepEqual(t, ids(r), []string{"b"})
 }
@@ -61,7 +61,7 @@
 	r.MarkDisconnected()
 	r.MarkReconnected()
 	r.Replace([]Target{{ID: "b", Revision: at(2)}}, at(8))
-	clock.Advance(back - time.Millisecond)
+	clock.Advance(returnTimeout - time.Millisecond)
 	assert.Equal(t, len(expired(r)), 0)
 	assert.DeepEqual(t, ids(r), []string{"a", "b"})
 	r.Put(Target{ID: "a", Revision: at(9)})
@@ -77,7 +77,7 @@
 	r.MarkReconnected()
 	r.Replace([]Target{{ID: "b", Revision: at(2)}}, at(8))
 	assert.Equal(t, len(expired(r)), 0)
-	clock.Advance(back)
+	clock.Advance(returnTimeout)
 	assert.DeepEqual(t, expired(r), []Termination{{ID: "a", Incarnation: "a", Revision: at(8)}})
 	assert.DeepEqual(t, ids(r), []string{"b"})
 }
@@ -89,9 +89,9 @@
 	assert.Assert(t, r.Targets()[0].Draining)
 }
 
-// TestEntryThatGoesAfterAnOutageIsGoneSoon is the case of a hunted day: a router
-// that the store had turned away kept a target for two seconds that had left
-// after it was back.
+// TestEntryRemovedAfterAnOutageExpiresSoon guards against a router that keeps a target which
+// stopped after the end of an outage for the long timeout of entries that expired during it: a
+// router whose requests the store had refused kept such a target for two seconds.
 func TestEntryThatGoesAfterAnOutageIsGoneSoon(t *testing.T) {
 	r, clock := newTestRoster()
 	r.MarkDisconnected()
@@ -99,7 +99,7 @@
 	r.MarkSynced()
 	clock.Advance(700 * time.Millisecond)
 	assert.Assert(t, !removed(r, "a", 3))
-	clock.Advance(renewal)
+	clock.Advance(renewalInterval)
 	assert.DeepEqual(t, expired(r), []Termination{{ID: "a", Incarnation: "a", Revision: at(3)}})
 }
 
@@ -112,9 +112,9 @@
 	assert.DeepEqual(t, ids(r), []string{"b"})
 }
 
-// TestOtherRoutersWordIsTakenUntilTheEntryChanges holds the case of an own day:
-// all entries lapsed in an outage that nobody noticed, and routers went on to
-// tell each other that the targets were leaving when they were back.
+// TestReportOfAnotherRouterHoldsUntilTheEntryChanges guards against reports that outlive their
+// cause: after all entries expired in an outage that was not noticed, routers continued to notify
+// each other that the targets were draining when they had returned.
 func TestOtherRoutersWordIsTakenUntilTheEntryChanges(t *testing.T) {
 	r, _ := newTestRoster()
 	assert.Assert(t, !r.MarkDraining("a", at(1)), "the entry is not older")
@@ -126,13 +126,12 @@
 	assert.Assert(t, !r.MarkDraining("a", at(5)))
 }
 
-// run returns the entry of a run of a target that started some seconds after the first.
+// run returns the entry of an incarnation that started some seconds after a base time.
 func run(id string, started int64, version uint64) Target {
 	return Target{ID: id, Started: time.Unix(1_000_000+started, 0), Revision: at(version)}
 }
 
-// TestTargetStartsAgainUnderItsID has a target crash and start again before its entry
-// went.
+// TestTargetStartsAgainUnderItsID has a target crash and restart before its entry expires.
 func TestTargetStartsAgainUnderItsID(t *testing.T) {
 	r, clock := newTestRoster()
 	first, second := run("c", 1, 5), run("c", 2, 9)
@@ -144,14 +143,14 @@
 	gone, ended := r.Put(second)
 	assert.Assert(t, ended)
 	assert.Equal(t, gone, Termination{ID: "c", Incarnation: first.Incarnation(), Revision: at(9)})
-	clock.Advance(renewal)
-	assert.Equal(t, len(expired(r)), 0, "the entry of the second run stands")
+	clock.Advance(renewalInterval)
+	assert.Equal(t, len(expired(r)), 0, "the entry of the second incarnation is kept")
 	_, ended = r.Put(run("c", 2, 12))
-	assert.Assert(t, !ended, "the same run wrote again")
+	assert.Assert(t, !ended, "the same incarnation wrote again")
 }
 
-// TestLateEntryOfAnEarlierRunIsIgnored has a write of a run that crashed take effect
-// after the next one wrote its own.
+// TestLateEntryOfAnEarlierIncarnationIsIgnored has a write of a crashed incarnation take effect
+// after the next one wrote its own entry.
 func TestLateEntryOfAnEarlierRunIsIgnored(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		r, _ := newTestRoster()
@@ -165,8 +164,8 @@
 	}
 }
 
-// TestTableNamesTheNextRun has a router read the whole table after a target started
-// again.
+// TestReplaceEndsTheEarlierIncarnation has a router read the complete table after a target
+// restarted.
 func TestTableNamesTheNextRun(t *testing.T) {
 	r, _ := newTestRoster()
 	first := run("c", 1, 5)
@@ -176,8 +175,8 @@
 	assert.Equal(t, len(r.Targets()), 3)
 }
 
-// TestUnreadableEntryNamesNoTarget has somebody else write over an entry, in a single
-// change or found in the whole table.
+// TestUnreadableEntryIsNotUsed has an entry overwritten with an invalid one, seen as a single
+// change or in the complete table.
 func TestUnreadableEntryNamesNoTarget(t *testing.T) {
 	odd := Target{ID: "a", Revision: at(5), Unreadable: true}
 	takes := map[string]func(*Roster){
@@ -192,7 +191,7 @@
 			clock.Advance(time.Minute)
 			assert.Equal(t, len(expired(r)), 0)
 			_, ended := r.Put(Target{ID: "a", Revision: at(6)})
-			assert.Assert(t, !ended && !r.Targets()[0].Unreadable, "the good entry that follows is used at once")
+			assert.Assert(t, !ended && !r.Targets()[0].Unreadable, "the valid entry that follows is used immediately")
 		})
 	}
 	r, _ := newTestRoster()
@@ -200,11 +199,11 @@
 	assert.DeepEqual(t, ids(r), []string{"a", "b"})
 }
 
-// inEra is a revision of a later era.
+// inEra returns a revision of a later era.
 func inEra(era, count uint64) revision.Revision { return revision.Revision{Era: era, Count: count} }
 
-// TestCopyOfTheTableTakesNothingBack has the table come back from a copy in which a target
-// that is leaving is not, one that is gone is there, and one that came is missing.
+// TestRestoredTableDoesNotRevertTargets restores the table from a backup in which a draining
+// target is not draining, an ended one is present, and a new one is missing.
 func TestCopyOfTheTableTakesNothingBack(t *testing.T) {
 	r, clock := newTestRoster()
 	r.Put(Target{ID: "gone", Revision: at(3)})
@@ -212,44 +211,44 @@
 	assert.Assert(t, removed(r, "gone", 5))
 	r.Put(Target{ID: "a", Revision: at(6), Draining: true})
 	r.Put(Target{ID: "new", Revision: at(7)})
-	// Counts go back: those of the copy are below what is known.
+	// Counts go back: those of the backup are below the known ones.
 	r.Replace([]Target{{ID: "a", Revision: inEra(1, 1)}, {ID: "b", Revision: inEra(1, 2)}, {ID: "gone", Revision: inEra(1, 3)}}, inEra(1, 3))
 	assert.DeepEqual(t, ids(r), []string{"a", "b", "new"})
 	assert.Assert(t, r.Get("a").Draining && !r.Get("b").Draining)
-	clock.Advance(back - time.Millisecond)
-	assert.Equal(t, len(expired(r)), 0, "the target that came has time to write its entry again")
+	clock.Advance(returnTimeout - time.Millisecond)
+	assert.Equal(t, len(expired(r)), 0, "the new target has time to write its entry again")
 	assert.DeepEqual(t, ids(r), []string{"a", "b", "new"})
 	r.Put(Target{ID: "new", Revision: inEra(1, 4)})
 	clock.Advance(time.Second)
 	assert.Equal(t, len(expired(r)), 0)
-	// What is written after that counts, although counts are below those of before.
+	// Later writes count, although their counts are below those of the era before.
 	r.Put(Target{ID: "b", Revision: inEra(1, 5), Draining: true})
 	assert.Assert(t, r.Get("b").Draining)
 	r.Put(Target{ID: "a", Revision: inEra(1, 6)})
-	assert.Assert(t, !r.Get("a").Draining, "its owner wrote so")
+	assert.Assert(t, !r.Get("a").Draining, "the target itself wrote that it is not draining")
 }
 
-// TestTargetThatACopyNamesForLongCountsAgain has a target that lapsed in the outage before
-// the table came back, and lives.
+// TestWithheldTargetIsReinstated has a running target whose entry expired in the outage before the
+// table was restored.
 func TestTargetThatACopyNamesForLongCountsAgain(t *testing.T) {
 	r, clock := newTestRoster()
 	assert.Assert(t, !removed(r, "a", 3))
-	clock.Advance(renewal)
+	clock.Advance(renewalInterval)
 	assert.Equal(t, len(expired(r)), 1)
 	r.Replace([]Target{{ID: "a", Revision: inEra(1, 1)}, {ID: "b", Revision: inEra(1, 2)}}, inEra(1, 2))
 	assert.DeepEqual(t, ids(r), []string{"b"})
-	clock.Advance(goneFor)
+	clock.Advance(endedTTL)
 	_, back := r.Expire()
 	assert.Assert(t, back)
 	assert.DeepEqual(t, ids(r), []string{"a", "b"})
 }
 
-// TestWordFromBeforeTheCopyCounts has other routers tell of a target that leaves: one that
-// has not seen the new era, and one that has.
+// TestReportFromBeforeTheRestoreCounts has other routers report a draining target: one that has
+// not seen the new era, and one that has.
 func TestWordFromBeforeTheCopyCounts(t *testing.T) {
 	r, _ := newTestRoster()
 	r.Replace([]Target{{ID: "a", Revision: inEra(1, 1)}, {ID: "b", Revision: inEra(1, 2)}}, inEra(1, 2))
-	assert.Assert(t, r.MarkDraining("a", at(50)), "the copy lacks it")
+	assert.Assert(t, r.MarkDraining("a", at(50)), "the backup lacks it")
 	assert.Assert(t, r.MarkDraining("b", inEra(1, 3)))
 	r.Put(Target{ID: "a", Revision: inEra(1, 4)})
 	assert.Assert(t, !r.MarkDraining("a", at(50)), "the target wrote since")
