--- a/rollout/evaluate.go
+++ b/rollout/evaluate.go
@@ -14,81 +14,81 @@
 	}
 }
 
-// sum is the tally of a version over all routers and routes.
-func (m *move) sum(ofNew bool) Tally {
+// sum returns the tally of a version over all routers and routes.
+func (m *activeOrder) sum(isNew bool) Tally {
 	var sum Tally
 	for key, t := range m.tallies() {
-		if key.New == ofNew {
+		if key.New == isNew {
 			sum.add(t)
 		}
 	}
 	return sum
 }
 
-// tallies sums up what all routers saw.
-func (m *move) tallies() map[Key]Tally {
+// tallies sums up the tallies of all routers.
+func (m *activeOrder) tallies() map[Key]Tally {
 	sum := maps.Clone(m.own.Tallies)
-	for _, c := range m.heard {
+	for _, c := range m.received {
 		addTallies(sum, c.Tallies)
 	}
 	return sum
 }
 
 const (
-	// leastBad is the fewest bad answers that condemn a version: some may be the requests'
-	// own. From it on a part of badExcess more than that of the old version is too much, and
-	// more than badRatio times as much.
-	leastBad  = 5
+	// minBad is the minimum number of bad outcomes for rejecting a version: fewer may be caused by
+	// the requests themselves. From it on, a ratio of bad outcomes is too high if it exceeds that
+	// of the old version both by badExcess and by the factor badRatio.
+	minBad    = 5
 	badExcess = 0.08
 	badRatio  = 2
-	// strength is the number of bad answers by which more than the old version's part has to
-	// be exceeded, in square roots of what it would be expected to have.
-	strength = 3
+	// minDeviations is by how much the number of bad outcomes must exceed the number expected from
+	// the old version's ratio, in square roots of the expected number.
+	minDeviations = 3
 )
 
-// condemns reports whether a version with a tally is worse than another one.
-func condemns(old, fresh Tally) bool {
-	bad := float64(fresh.bad())
-	usual := (float64(old.bad()) + 1) / (float64(old.Requests) + 50)
-	part := bad / float64(max(fresh.Requests, 1))
-	expected := usual * float64(fresh.Requests)
-	return fresh.bad() >= leastBad && part > badRatio*usual && part > usual+badExcess && bad > expected+strength*math.Sqrt(max(expected, 1))
+// isWorse reports whether a version with a tally is worse than another one.
+func isWorse(old, candidate Tally) bool {
+	bad := float64(candidate.bad())
+	baseline := (float64(old.bad()) + 1) / (float64(old.Requests) + 50)
+	ratio := bad / float64(max(candidate.Requests, 1))
+	expected := baseline * float64(candidate.Requests)
+	return candidate.bad() >= minBad && ratio > badRatio*baseline && ratio > baseline+badExcess && bad > expected+minDeviations*math.Sqrt(max(expected, 1))
 }
 
-// isBad reports whether the new version is worse on one route, or on all together.
-func (m *move) isBad() bool {
+// isBad reports whether the new version is worse on one route, or on all routes together.
+func (m *activeOrder) isBad() bool {
 	sums := m.tallies()
-	var old, fresh Tally
+	var old, candidate Tally
 	for key, t := range sums {
 		if !key.New {
 			old.add(t)
 			continue
 		}
-		fresh.add(t)
-		if condemns(sums[Key{Route: key.Route}], t) {
+		candidate.add(t)
+		if isWorse(sums[Key{Route: key.Route}], t) {
 			return true
 		}
 	}
-	return condemns(old, fresh)
+	return isWorse(old, candidate)
 }
 
-// Evaluation is a state that is to be written.
+// Evaluation is the state of an order, to be written to the store.
 type Evaluation struct {
 	Order Order
 	State State
-	// Old and New are the answers that led to it.
+	// Old and New are the tallies that it is based on.
 	Old, New Tally
-	// OldRunning is the number of requests that still run at the old version.
+	// OldRunning is the number of requests still running at the old version.
 	OldRunning int
 }
 
-// Evaluate returns the state of each order as this router judges it now. A version that is
-// found bad gets nothing more from this router from now on.
+// Evaluate returns the state of each order as this router evaluates it now. A version that is
+// found bad gets no more requests from this router.
 func (s *Set) Evaluate() []Evaluation {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Evaluation
-	for _, m := range s.moves {
+	for _, m := range s.active {
 		if m.state == Running && m.isBad() {
 			s.settle(m, RolledBack)
 		}
@@ -101,25 +101,25 @@
 	return list
 }
 
-func (m *move) oldRunning() int {
+func (m *activeOrder) oldRunning() int {
 	running := m.running
-	for _, c := range m.heard {
+	for _, c := range m.received {
 		running += c.OldRunning
 	}
 	return running
 }
 
-// isDone reports whether the old targets are not needed any more: all requests go to the new
-// ones, and those at the old ones ended or have no more time.
-func (s *Set) isDone(m *move, v Evaluation) bool {
+// isDone reports whether the old targets are no longer needed: all requests go to the new ones,
+// and those at the old ones ended or have no more time.
+func (s *Set) isDone(m *activeOrder, v Evaluation) bool {
 	if s.share(m) < 1 {
 		return false
 	}
 	since := s.options.Clock.Since(m.order.At)
-	told := since >= time.Duration(fullFrom*float64(m.order.Duration))+toldWithin
-	return told && v.OldRunning <= 0 || since >= m.order.Duration-lateMargin
+	notified := since >= time.Duration(fullFrom*float64(m.order.Duration))+notifyDelay
+	return notified && v.OldRunning <= 0 || since >= m.order.Duration-deadlineMargin
 }
 
-// toldWithin is the time within which all routers send nothing to the old version any more,
-// and have told others what runs there.
-const toldWithin = time.Second
+// notifyDelay is the time within which all routers stop sending requests to the old version, and
+// have notified the others of those still running there.
+const notifyDelay = time.Second
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,32 +1,33 @@
-// Package rollout moves the traffic of a service to a new version of its targets by steps, and
-// judges the version by its answers.
+// Package rollout shifts the traffic of a service to a new version of its targets in steps, and
+// evaluates the version by the outcomes of its requests.
 //
-// An order names the version and how long the move may take. The share of requests that the
-// new version gets follows from the time since the order alone, so that all routers agree
-// without a message: a small one for most of the time, while its answers are compared with
-// those of the old version, route by route; then steps; then all, so that what runs at the
-// old targets can end before they are stopped. Summed up over the order, a version that turns
-// bad in the small steps or within a second after them gets less than the stated part of the
-// requests. Every router judges by the answers of all that it hears of. A version that is
-// found bad by one of them gets nothing more from any; one that has shown too little is given
-// no more than the small share, however late it is.
+// An order names the version and the maximum duration of the rollout. The share of requests that
+// the new version gets depends only on the time since the order, so that all routers agree without
+// messages. It is small for most of the time, while the outcomes are compared with those of the
+// old version, route by route; then it grows in steps; then all requests go to the new version, so
+// that requests at the old targets can end before these are stopped. Over the complete rollout, a
+// version that turns bad in the small steps or within a second after them gets less than the
+// configured share of the requests. Every router evaluates the counts of all routers that it
+// receives counts from. A version that one of them finds bad gets no more requests from any; one
+// with too few requests for an evaluation keeps the first, small share, even when the deadline is
+// near.
 //
-// The states of an order are running, complete and rolled back; the last two never change.
-// Who writes them is for the caller, by a condition of the store, so that one of two that
-// differ wins; a router that was told of either keeps to it.
+// The states of an order are running, complete and rolled back; the last two are final. The caller
+// decides which router writes them, with a conditional write, so that one of two different states
+// wins; a router that has received either keeps it.
 //
 // The package has no I/O. A Set is safe for concurrent use.
 //
 // # Usage
 //
 //	s := rollout.New(rollout.Options{Clock: clock, ExposeShare: 0.1})
-//	s.Put(order)                                // as operators write it
+//	s.Put(order)                                // as read from the store
 //	c := s.Choose(service, rand.Float64())      // for each request
-//	s.Note(service, route, version, answer)     // for each answer
-//	counts := s.Counts(nil)                     // to tell others
-//	s.Hear(router, counts)
-//	for _, v := range s.Verdicts() { ... }      // states to be written
-//	s.Overrule(service, version, state)         // as it stands in the store
+//	s.Record(service, route, version, outcome)  // for each finished request
+//	counts := s.Counts(nil)                     // to send to other routers
+//	s.Receive(router, counts)
+//	for _, e := range s.Evaluate() { ... }      // states to be written
+//	s.SetState(service, version, state)         // as read from the store
 package rollout
 
 import (
@@ -39,7 +40,7 @@
 	"zinccove.example/zinccove/revision"
 )
 
-// State is how far an order is.
+// State is the progress of an order.
 type State string
 
 // The states of orders.
@@ -52,54 +53,55 @@
 // Final reports whether a state never changes.
 func (s State) Final() bool { return s == Complete || s == RolledBack }
 
-// Order asks to move the traffic of a service to targets of a version.
+// Order requests the rollout of a version of a service.
 type Order struct {
 	Service string
 	Version string
-	// Duration is the time within which the move is to be complete, or taken back.
+	// Duration is the time within which the rollout has to be complete or rolled back.
 	Duration time.Duration
-	// Revision is that at which the order was written, At when that was.
+	// Revision is the revision at which the order was written, At the time.
 	Revision revision.Revision
 	At       time.Time
 }
 
-// step is a share of requests from a part of the duration on.
+// step is the share of requests that applies from a fraction of the duration on.
 type step struct{ from, share float64 }
 
-// steps are shares of the stated part. Before all requests go there, the new version gets less
-// than six tenths of that part; the rest is for what it gets until it is found bad. A quarter
-// of the time is left to what runs at the old targets.
+// steps holds shares relative to ExposeShare. Before all requests go to the new version, it gets
+// less than six tenths of that share; the rest is reserved for requests that it gets until it is
+// found bad. A quarter of the duration is left for the requests running at the old targets.
 var steps = []step{{0, 0.2}, {0.55, 1}, {0.65, 3}, {0.71, 6}}
 
 const (
-	// fullFrom is the part of the duration from which on all requests go to the new version,
-	// lateMargin what is left at its end for the state to be written and told.
-	fullFrom   = 0.74
-	lateMargin = 300 * time.Millisecond
-	// leastAnswers is the number of answers that a version has to show before it is given
-	// more than the first share.
-	leastAnswers = 20
+	// fullFrom is the fraction of the duration after which all requests go to the new version,
+	// deadlineMargin the time reserved at its end for writing the state and notifying routers.
+	fullFrom       = 0.74
+	deadlineMargin = 300 * time.Millisecond
+	// minRequests is the number of finished requests that a version needs before it gets more than
+	// the first share.
+	minRequests = 20
 )
 
 // Outcome is how one request ended at a target.
 type Outcome struct {
-	// Failed tells that the target failed.
+	// Failed means that the target failed.
 	Failed bool
-	// Duration is the time of the answer, Size what it consisted of, such as events and one more;
-	// answers of a route take about as long for their size.
+	// Duration is how long the response took, Size a measure of its content, such as the number of
+	// events plus one; the duration of a route's responses is about proportional to their size.
 	Duration time.Duration
 	Size     float64
 }
 
-// Choice is which targets of a service a request may go to.
+// Choice restricts the targets of a service that a request may be sent to.
 type Choice struct {
-	// Only is the version that it is to go to; Exclude the version that it must not.
+	// Only is the version that the request has to be sent to, Exclude the version that it must
+	// not.
 	Only, Exclude string
-	// Strict tells that nothing else will do: the version was rolled back.
+	// Strict means that there is no fallback to other versions: the excluded one was rolled back.
 	Strict bool
 }
 
-// Tally counts the answers of a route by one version.
+// Tally counts the finished requests of a route at one version.
 type Tally struct {
 	Requests, Failures, Slow int
 }
@@ -110,32 +112,32 @@
 	t.Slow += o.Slow
 }
 
-// bad is the number of answers that speak against the version.
+// bad returns the number of outcomes that count against the version.
 func (t *Tally) bad() int { return t.Failures + t.Slow }
 
-// Key names what a tally is of.
+// Key identifies a tally.
 type Key struct {
 	Route string
-	// New tells that it is of the new version.
+	// New means that the tally is of the new version.
 	New bool
 }
 
-// Counts are the answers of an order that one router saw, by route and version.
+// Counts holds the tallies of an order at one router, by route and version.
 type Counts struct {
 	Service  string
 	Version  string
 	Revision revision.Revision
 	Tallies  map[Key]Tally
-	// OldRunning is the number of requests that run at targets of the old version.
+	// OldRunning is the number of requests running at targets of the old version.
 	OldRunning int
-	// State is what the router knows of the order.
+	// State is the state of the order that the router knows.
 	State State
 }
 
 // Options configure a Set. All are required.
 type Options struct {
 	Clock clockwork.Clock
-	// ExposeShare is the part of all requests that a bad version may get.
+	// ExposeShare is the maximum share of all requests that a bad version may get.
 	ExposeShare float64
 }
 
@@ -144,70 +146,70 @@
 	options Options
 
 	mu sync.Mutex
-	// moves are the orders by service.
-	moves map[string]*move
+	// active holds the orders by service.
+	active map[string]*activeOrder
 }
 
-// move is an order on its way.
-type move struct {
+// activeOrder is an order and what is known of its progress.
+type activeOrder struct {
 	order Order
 	state State
-	// settled is when the state became one that never changes.
+	// settled is when the state became final.
 	settled time.Time
 	own     Counts
-	// heard are the counts of other routers.
-	heard map[string]Counts
-	// usual is the time for the size of an answer of the old version, by route.
-	usual map[string]*mean
+	// received holds the counts of other routers.
+	received map[string]Counts
+	// baselines holds the old version's duration per size of a response, by route.
+	baselines map[string]*mean
 	// running counts this router's requests at the old version.
 	running int
 }
 
-// mean follows a value.
+// mean is a moving average.
 type mean struct {
 	value float64
 	n     int
 }
 
-func (m *mean) learn(x float64) {
+func (m *mean) add(x float64) {
 	m.n++
-	m.value += (x - m.value) / float64(min(m.n, meanOver))
+	m.value += (x - m.value) / float64(min(m.n, meanWindow))
 }
 
-// meanOver is the number of answers over which the usual time is averaged.
-const meanOver = 50
+// meanWindow is the number of outcomes over which the old version's duration is averaged.
+const meanWindow = 50
 
 // New returns a set without orders.
-func New(o Options) *Set { return &Set{options: o, moves: make(map[string]*move)} }
+func New(o Options) *Set { return &Set{options: o, active: make(map[string]*activeOrder)} }
 
-// Put takes an order. One that is not newer than the known one changes nothing.
-func (s *Set) Put(o Order) (news bool) {
+// Put adds an order. One that is not newer than the known one has no effect.
+func (s *Set) Put(o Order) (isNew bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known := s.moves[o.Service]; known != nil && !known.order.Revision.Before(o.Revision) {
+	if known := s.active[o.Service]; known != nil && !known.order.Revision.Before(o.Revision) {
 		return false
 	}
-	s.moves[o.Service] = &move{
-		order: o, state: Running, heard: make(map[string]Counts), usual: make(map[string]*mean),
+	s.active[o.Service] = &activeOrder{
+		order: o, state: Running, received: make(map[string]Counts), baselines: make(map[string]*mean),
 		own: Counts{Service: o.Service, Version: o.Version, Revision: o.Revision, Tallies: make(map[Key]Tally)},
 	}
 	return true
 }
 
-// Drop forgets the order of a service, which operators took back.
+// Drop removes the order of a service, which operators withdrew.
 func (s *Set) Drop(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.moves, service)
+	delete(s.active, service)
 }
 
-// Choose says where a request of a service may go. Draw is a number from 0 to 1 by chance.
+// Choose returns where a request of a service may be sent. Draw is a random number from 0 to 1.
 func (s *Set) Choose(service string, draw float64) Choice {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := s.moves[service]
+	m := s.active[service]
 	switch {
-	case m == nil, m.state == Complete && s.options.Clock.Since(m.settled) >= completeFor:
+	case m == nil, m.state == Complete && s.options.Clock.Since(m.settled) >= completeTTL:
 		return Choice{}
 	case m.state == Complete:
 		return Choice{Only: m.order.Version}
@@ -219,15 +221,15 @@
 	return Choice{Exclude: m.order.Version}
 }
 
-// completeFor is how long requests keep to the new version once that is complete: the old
-// targets are stopped at once, but their entries stand for some time.
-const completeFor = 30 * time.Second
+// completeTTL is how long requests are restricted to the new version after completion: the old
+// targets are stopped immediately, but their entries remain for some time.
+const completeTTL = 30 * time.Second
 
-// share is the part of the requests that the new version gets now.
-func (s *Set) share(m *move) float64 {
+// share returns the share of the requests that the new version gets now.
+func (s *Set) share(m *activeOrder) float64 {
 	part := s.options.Clock.Since(m.order.At).Seconds() / m.order.Duration.Seconds()
 	first := steps[0].share * s.options.ExposeShare
-	if part < 0 || m.sum(true).Requests < leastAnswers {
+	if part < 0 || m.sum(true).Requests < minRequests {
 		return first
 	}
 	if part >= fullFrom {
@@ -242,11 +244,11 @@
 	return share
 }
 
-// Begin notes that a request began at a target of a version; the result ends it.
+// Begin records that a request began at a target of a version; the returned function ends it.
 func (s *Set) Begin(service, version string) (end func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := s.moves[service]
+	m := s.active[service]
 	if m == nil || version == m.order.Version {
 		return func() {}
 	}
@@ -258,24 +260,24 @@
 	}
 }
 
-// slowFactor is how many times longer than usual for its size an answer takes that counts as
-// slow.
+// slowFactor is how many times the baseline duration for its size a response may take before it
+// counts as slow.
 const slowFactor = 3
 
-// Record takes the answer of a target of some version. It reports whether it speaks against the
-// new one, so that others are to be told soon.
+// Record records the outcome of a request at a target of some version. It reports whether the new
+// version has bad outcomes, so that other routers should be notified soon.
 func (s *Set) Record(service, route, version string, a Outcome) (bad bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := s.moves[service]
+	m := s.active[service]
 	if m == nil || m.state.Final() {
 		return false
 	}
 	key := Key{Route: route, New: version == m.order.Version}
-	usual := m.usual[route]
-	if usual == nil {
-		usual = new(mean)
-		m.usual[route] = usual
+	baseline := m.baselines[route]
+	if baseline == nil {
+		baseline = new(mean)
+		m.baselines[route] = baseline
 	}
 	pace := a.Duration.Seconds() / max(a.Size, 1)
 	t := m.own.Tallies[key]
@@ -283,30 +285,29 @@
 	switch {
 	case a.Failed:
 		t.Failures++
-	case usual.n >= leastUsual && pace > slowFactor*usual.value:
+	case baseline.n >= minBaseline && pace > slowFactor*baseline.value:
 		t.Slow++
 	case !key.New:
-		usual.learn(pace)
+		baseline.add(pace)
 	}
 	m.own.Tallies[key] = t
 	return key.New && t.bad() > 0
 }
 
-// leastUsual is the number of answers of the old version from which on its usual time is
-// known.
-const leastUsual = 5
+// minBaseline is the number of outcomes of the old version that the baseline duration requires.
+const minBaseline = 5
 
-// Counts returns the answers that this router saw of all orders, and those that others told
-// whom with names; nil names none.
+// Counts returns this router's counts of all orders, including those received from routers that
+// with selects; nil selects none.
 func (s *Set) Counts(with func(from string) bool) []Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Counts
-	for _, m := range s.moves {
+	for _, m := range s.active {
 		c := m.own
 		c.Tallies = maps.Clone(m.own.Tallies)
 		c.OldRunning, c.State = m.running, m.state
-		for from, h := range m.heard {
+		for from, h := range m.received {
 			if with != nil && with(from) {
 				addTallies(c.Tallies, h.Tallies)
 				c.OldRunning += h.OldRunning
@@ -317,27 +318,27 @@
 	return list
 }
 
-// Receive takes what another router, or a group of them, saw of an order. A state that never
-// changes is believed at once.
+// Receive stores the counts of an order at another router, or a group of routers. A final state is
+// adopted immediately.
 func (s *Set) Receive(from string, c Counts) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := s.moves[c.Service]
+	m := s.active[c.Service]
 	if m == nil || m.order.Revision != c.Revision {
 		return
 	}
-	m.heard[from] = c
+	m.received[from] = c
 	if !m.state.Final() {
 		s.settle(m, c.State)
 	}
 }
 
-// SetState takes the state that stands in the store, also against what was found here: the
-// old targets are stopped by it.
+// SetState adopts the state in the store, even if it contradicts this router's evaluation: the old
+// targets are stopped based on it.
 func (s *Set) SetState(service, version string, state State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m := s.moves[service]; m != nil && m.order.Version == version {
+	if m := s.active[service]; m != nil && m.order.Version == version {
 		s.settle(m, state)
 	}
 }
@@ -346,11 +347,11 @@
 func (s *Set) Active() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.moves) > 0
+	return len(s.active) > 0
 }
 
-// settle takes a state that never changes.
-func (s *Set) settle(m *move, state State) {
+// settle adopts a state if it is final.
+func (s *Set) settle(m *activeOrder, state State) {
 	if state.Final() && m.state != state {
 		m.state, m.settled = state, s.options.Clock.Now()
 	}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -16,26 +16,28 @@
 	duration    = 12 * time.Second
 	exposeShare = 0.1
 	exposeSlack = 50
-	// rollbackWithin is the time after the fiftieth bad answer by which nothing more may be sent.
+	// rollbackWithin is the time after the fiftieth bad outcome after which no request may be sent
+	// to the version.
 	rollbackWithin = 5 * time.Second
 	bound          = 50
 	simTick        = 20 * time.Millisecond
 )
 
-// version is how the new version answers a request of a route under a load, as a part of all
-// requests, at a time since the order.
+// version returns the outcome of a request of a route at the new version, given its load as a
+// fraction of all requests and the time since the order.
 type version func(route int, load float64, since time.Duration) (failed, slow bool)
 
-// simulated is a fleet of routers with a service of two versions, on a clock of its own.
+// simulated is a fleet of routers with a service of two versions, on a fake clock.
 type simulated struct {
 	clock  *clockwork.FakeClock
 	random *rand.Rand
 	sets   []*Set
-	// tellEvery is the time between words of a router to all others, dead is a router that
-	// says and judges nothing any more.
-	tellEvery time.Duration
-	dead      int
-	// all and fresh count the requests until the deadline, bad the bad answers.
+	// notifyInterval is the interval between notifications of a router to all others, failed is a
+	// router that no longer sends or evaluates counts.
+	notifyInterval time.Duration
+	failed         int
+	// all and fresh count all requests and those to the new version until the deadline, bad the
+	// bad outcomes.
 	all, fresh, bad int
 	boundAt         time.Time
 	late            int
@@ -44,14 +46,14 @@
 	ends            []ending
 }
 
-// ending is a request that ends at a time.
+// ending is the scheduled end of a request.
 type ending struct {
 	at   time.Time
 	done func()
 }
 
 func newSimulated(seed uint64, routers int) *simulated {
-	s := &simulated{clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 1)), tellEvery: 600 * time.Millisecond, dead: -1, state: Running}
+	s := &simulated{clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 1)), notifyInterval: 600 * time.Millisecond, failed: -1, state: Running}
 	o := Order{Service: "s", Version: "v2", Duration: duration, Revision: revision.Revision{Count: 5}, At: s.clock.Now()}
 	for range routers {
 		set := New(Options{Clock: s.clock, ExposeShare: exposeShare})
@@ -61,7 +63,7 @@
 	return s
 }
 
-// run plays so many requests a second until some time after the deadline.
+// run simulates perSecond requests per second until some time after the deadline.
 func (s *simulated) run(perSecond int, v version) {
 	began := s.clock.Now()
 	load := 0.0
@@ -77,17 +79,17 @@
 		load = 0.9*load + 0.1*float64(fresh)/float64(max(sent, 1))
 		s.end()
 		for i, set := range s.sets {
-			if i != s.dead && (since/simTick+time.Duration(i))%(s.tellEvery/simTick) == 0 {
-				s.tell(i, set)
+			if i != s.failed && (since/simTick+time.Duration(i))%(s.notifyInterval/simTick) == 0 {
+				s.notify(i, set)
 			}
 		}
 		if since%(100*time.Millisecond) == 0 {
-			s.judge(began)
+			s.evaluate(began)
 		}
 	}
 }
 
-// request sends one by any router and reports whether it went to the new version.
+// request sends one request by a random router and reports whether it went to the new version.
 func (s *simulated) request(v version, load float64, since time.Duration) bool {
 	i := s.random.IntN(len(s.sets))
 	set, route := s.sets[i], s.random.IntN(4)
@@ -126,14 +128,14 @@
 				s.boundAt = s.clock.Now()
 			}
 		}
-		if set.Record("s", fmt.Sprint(route), to, Outcome{Failed: failed, Duration: took, Size: 1}) && i != s.dead {
-			s.tell(i, set)
+		if set.Record("s", fmt.Sprint(route), to, Outcome{Failed: failed, Duration: took, Size: 1}) && i != s.failed {
+			s.notify(i, set)
 		}
 	}})
 	return to == "v2"
 }
 
-// end ends the requests whose time has come.
+// end ends the requests that are due.
 func (s *simulated) end() {
 	now := s.clock.Now()
 	left := s.ends[:0]
@@ -151,20 +153,20 @@
 	}
 }
 
-func (s *simulated) tell(i int, set *Set) {
+func (s *simulated) notify(i int, set *Set) {
 	for _, c := range set.Counts(nil) {
 		for j, other := range s.sets {
-			if j != i && j != s.dead {
+			if j != i && j != s.failed {
 				other.Receive(fmt.Sprint(i), c)
 			}
 		}
 	}
 }
 
-// judge has the routers write what they find; the first state that is written stands.
-func (s *simulated) judge(began time.Time) {
+// evaluate writes the routers' evaluations; the first final state that is written is kept.
+func (s *simulated) evaluate(began time.Time) {
 	for i, set := range s.sets {
-		if i == s.dead {
+		if i == s.failed {
 			continue
 		}
 		for _, v := range set.Evaluate() {
@@ -180,8 +182,8 @@
 	}
 }
 
-// TestBadVersionsAreRolledBackInTime plays each kind of bad version with several seeds: what
-// it gets stays below the stated part, also while the router that found it dies.
+// TestBadVersionsAreRolledBackInTime runs each kind of bad version with several seeds: its share
+// of the requests stays below the configured one, also if the router that found it bad fails.
 func TestBadVersionsAreRolledBackInTime(t *testing.T) {
 	half := func(random *rand.Rand) bool { return random.Float64() < 0.4 }
 	for name, make := range map[string]func(random *rand.Rand) version{
@@ -217,7 +219,7 @@
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(2) {
 				s := newSimulated(seed, 12)
-				s.dead = int(seed) - 1
+				s.failed = int(seed) - 1
 				s.run(1000, make(s.random))
 				assert.Equal(t, s.state, RolledBack, "seed %d", seed)
 				assert.Assert(t, s.stateAt < duration, "after %v", s.stateAt)
@@ -229,8 +231,7 @@
 	}
 }
 
-// TestGoodVersionsCompleteInTime plays good versions, one of them faster, one with as many
-// failures as the old one has.
+// TestGoodVersionsCompleteInTime runs good versions that fail as often as the old one.
 func TestGoodVersionsCompleteInTime(t *testing.T) {
 	for seed := range uint64(3) {
 		s := newSimulated(seed, 12)
@@ -240,17 +241,17 @@
 	}
 }
 
-// TestFewAnswersLeadToNoVerdict has hardly any requests: nothing is complete that has shown
-// nothing, and nothing is harmed.
+// TestFewRequestsLeadToNoDecision has too few requests to evaluate: the version is neither
+// completed nor given more than the first share.
 func TestFewAnswersLeadToNoVerdict(t *testing.T) {
 	s := newSimulated(1, 20)
 	s.run(50, func(int, float64, time.Duration) (bool, bool) { return false, false })
 	assert.Equal(t, s.state, Running)
-	assert.Assert(t, s.fresh < leastAnswers)
+	assert.Assert(t, s.fresh < minRequests)
 }
 
-// TestStatesNeverGoBack has a router hear and find otherwise than what it knows; only the
-// store overrules it.
+// TestFinalStatesAreKept has a router receive and find other states than the one it knows; only
+// the state in the store replaces a final one.
 func TestStatesNeverGoBack(t *testing.T) {
 	s := newSimulated(1, 1).sets[0]
 	counts := func(state State) Counts {
@@ -267,7 +268,7 @@
 	assert.Equal(t, s.Evaluate()[0].State, RolledBack)
 	s.SetState("s", "v2", Complete)
 	assert.Equal(t, s.Choose("s", 0.99), Choice{Only: "v2"}, "the old targets are stopped")
-	s.options.Clock.(*clockwork.FakeClock).Advance(completeFor)
+	s.options.Clock.(*clockwork.FakeClock).Advance(completeTTL)
 	assert.Equal(t, s.Choose("s", 0.99), Choice{})
 	assert.Assert(t, !s.Put(Order{Service: "s", Version: "v2", Revision: revision.Revision{Count: 5}}), "the same order again")
 	assert.Assert(t, s.Put(Order{Service: "s", Version: "v3", Duration: duration, Revision: revision.Revision{Count: 9}}))
