--- a/route/regions.go
+++ b/route/regions.go
@@ -3,8 +3,8 @@
 import "slices"
 
 // AllowedRegions returns the regions in which requests of a customer on a route may run: those
-// that both allow. Nil allows all; an empty list allows none. The customer is nil where a
-// route needs none.
+// that both allow. Nil allows all; an empty list allows none. The customer is nil for routes that
+// need none.
 func AllowedRegions(r *Route, c *Customer) []string {
 	switch {
 	case c == nil || c.Regions == nil:
@@ -21,8 +21,8 @@
 	return both
 }
 
-// UnknownRegions returns the regions that routes and customers name and that are not among
-// the known ones, sorted.
+// UnknownRegions returns the regions of routes and customers that are not among the known ones,
+// sorted.
 func (t *Table) UnknownRegions(known []string) []string {
 	var unknown []string
 	note := func(regions []string) {
--- a/route/route.go
+++ b/route/route.go
@@ -1,14 +1,12 @@
-// Package route is the table by which callers' requests find a service: routes
-// by host and path, the services they lead to, the customers with their keys,
-// and the limits of the deployment.
+// Package route is the routing table for callers' requests: routes by host and path, the services
+// they lead to, the customers with their keys, and the limits of the deployment.
 //
-// A Table is an aggregate: New checks a Spec whole, and a Table never changes.
-// Whoever serves a request keeps the Table it began with, except for the
-// route's time limit, which follows the newest one.
+// New validates a complete Spec, and a Table never changes. A request keeps the Table it started
+// with, except for the route's timeout, which follows the newest one.
 //
 // # Usage
 //
-//	t, err := route.New(spec)             // Errors, one for each wrong part
+//	t, err := route.New(spec)             // Errors, one for each invalid part
 //	r := t.Match("api.example", "/a/b")   // nil: no such route
 //	c := t.Customer(key)                  // nil: unknown key
 //	service := r.Pick(rand.IntN)
@@ -22,7 +20,7 @@
 	"time"
 )
 
-// Kind says what may be repeated.
+// Kind determines whether requests of a route may be retried.
 type Kind int
 
 // The kinds of routes.
@@ -31,8 +29,8 @@
 	Once Kind = iota
 	// Repeatable requests may run more than once.
 	Repeatable
-	// Stream answers are a series of events; they run at most once unless the
-	// route is resumable.
+	// Stream responses are a series of events; their requests run at most once unless the route is
+	// resumable.
 	Stream
 )
 
@@ -41,35 +39,35 @@
 // String returns the kind's name in logs.
 func (k Kind) String() string { return kindNames[k] }
 
-// Split is the part of a route's requests that goes to a service.
+// Split is the weight of a service in the traffic of a route.
 type Split struct {
 	Service string
 	Weight  int
 }
 
-// Route leads requests of a host and path prefix to services.
+// Route maps requests of a host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request is held.
+	// Timeout is the maximum time that a request may take.
 	Timeout time.Duration
-	// Objective is the time to the whole answer, for streams to the first event,
-	// within which an answer is worth most.
+	// Objective is the latency objective: the time to the complete response, for streams to the
+	// first event, within which a response is most valuable.
 	Objective time.Duration
-	// EventGap is the longest pause between events that keeps a stream in time.
+	// EventGap is the maximum pause between events for a stream to count as in time.
 	EventGap time.Duration
-	// Priority is the route's rank; 0 is the highest.
+	// Priority is the route's priority; 0 is the highest.
 	Priority int
 	Splits   []Split
-	// MaxAttempts is the most targets that a request may be sent to.
+	// MaxAttempts is the maximum number of targets that a request may be sent to.
 	MaxAttempts int
 	// Public routes need no key.
 	Public bool
-	// Resumable streams may go on at another target.
+	// Resumable streams may be continued by another target.
 	Resumable bool
-	// Regions are those in which requests may run and leave memory; nil allows all.
+	// Regions are the regions in which requests may run and leave data in memory; nil allows all.
 	Regions []string
 
 	weights int
@@ -78,8 +76,8 @@
 // Retryable reports whether a request that may have run may be sent again.
 func (r *Route) Retryable() bool { return r.Kind == Repeatable || r.Kind == Stream && r.Resumable }
 
-// Pick returns a service by the weights of the splits. Draw returns a number
-// below its argument.
+// Pick returns a service by the weights of the splits. Draw returns a random number below its
+// argument.
 func (r *Route) Pick(draw func(int) int) string {
 	if len(r.Splits) == 1 {
 		return r.Splits[0].Service
@@ -96,54 +94,55 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of requests that one engine runs at once.
+	// Slots is the number of requests that one engine runs concurrently.
 	Slots int
-	// CacheTokens is the number of tokens that one engine keeps.
+	// CacheTokens is the number of tokens that the memory of one engine holds.
 	CacheTokens int
-	// CopyRate is the number of tokens a second whose memory one engine copies from
-	// another; 0 if engines do not copy.
+	// CopyRate is the number of tokens per second whose memory one engine copies from another; 0
+	// if engines do not copy.
 	CopyRate float64
 }
 
-// Service is a group of alike targets.
+// Service is a group of equivalent targets.
 type Service struct {
 	Name       string
 	HealthPath string
 	// MaxConns is the number of connections that one target accepts from all
 	// routers together.
 	MaxConns int
-	// WarmUpRate is the number of requests a second that a target bears just after
-	// its start; 0 if it bears as many as later.
+	// WarmUpRate is the number of requests per second that a target can take just after its start;
+	// 0 if it can take as many as later.
 	WarmUpRate float64
 	// Engine is nil for plain services.
 	Engine *Engine
 }
 
-// Customer is who pays for requests.
+// Customer is the party that pays for requests.
 type Customer struct {
 	Name     string
 	Priority int
 	Keys     []string
-	// Regions are those in which its requests may run and leave memory; nil allows all.
+	// Regions are the regions in which its requests may run and leave data in memory; nil allows
+	// all.
 	Regions []string
 }
 
-// Limits are bounds of the whole deployment.
+// Limits are limits of the whole deployment.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
 	HeaderTimeout  time.Duration
 	IdleTimeout    time.Duration
-	// TokensPerSecond is what all engines produce together; a token read counts
-	// once, a token made counts MadeTokenCost times. 0 means unknown.
+	// TokensPerSecond is the throughput of all engines together; an input token counts once, an
+	// output token counts OutputTokenCost times. 0 means unknown.
 	TokensPerSecond float64
 }
 
-// OutputTokenCost is the cost of a token made, in tokens read, as the deployment
-// states its rate.
+// OutputTokenCost is the cost of an output token in input tokens, as used in the deployment's
+// TokensPerSecond.
 const OutputTokenCost = 2
 
-// Spec is the content of a table before it was checked.
+// Spec is the content of a table before validation.
 type Spec struct {
 	Version   uint64
 	Routes    []*Route
@@ -152,7 +151,7 @@
 	Limits    Limits
 }
 
-// Table is a checked, immutable Spec.
+// Table is a validated, immutable Spec.
 type Table struct {
 	Spec
 
@@ -162,7 +161,7 @@
 	customers map[string]*Customer
 }
 
-// Error says what is wrong with one part of a Spec.
+// Error describes an invalid part of a Spec.
 type Error struct {
 	Part   string
 	Reason string
@@ -171,7 +170,7 @@
 // Error returns the part and the reason.
 func (e *Error) Error() string { return e.Part + ": " + e.Reason }
 
-// Errors are all the wrong parts of a Spec.
+// Errors holds an error for each invalid part of a Spec.
 type Errors []*Error
 
 // Error returns the first errors and the number of the others.
@@ -187,7 +186,7 @@
 	return strings.Join(lines, "; ")
 }
 
-// New checks a Spec and returns its table, which owns the Spec from then on.
+// New validates a Spec and returns its table, which owns the Spec from then on.
 func New(s Spec) (*Table, error) {
 	t := &Table{
 		Spec: s, byHost: make(map[string][]*Route), byName: make(map[string]*Route),
@@ -214,10 +213,10 @@
 			fail(fmt.Sprintf("service %d", i), "has no name")
 		}
 		if t.services[s.Name] != nil {
-			fail("service "+s.Name, "stands twice")
+			fail("service "+s.Name, "is defined twice")
 		}
 		if s.Engine != nil && s.Engine.Slots < 1 {
-			fail("service "+s.Name, "engine without slots")
+			fail("service "+s.Name, "engine has no slots")
 		}
 		t.services[s.Name] = s
 	}
@@ -242,7 +241,7 @@
 	for _, r := range t.Routes {
 		part := "route " + r.Name
 		if t.byName[r.Name] != nil {
-			fail(part, "stands twice")
+			fail(part, "is defined twice")
 		}
 		if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 			fail(part, "prefix must begin and end with a slash")
@@ -278,8 +277,8 @@
 	}
 }
 
-// Match returns the route of a host whose prefix begins the path and is
-// longest, or nil. A port in the host is ignored.
+// Match returns the route of a host with the longest prefix of the path, or nil. A port in the
+// host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -76,8 +76,8 @@
 		{"prefix", func(s *Spec) { s.Routes[0].Prefix = "/x" }, "prefix must begin and end with a slash"},
 		{"no time", func(s *Spec) { s.Routes[0].Timeout = 0 }, "time limit must be more than 0"},
 		{"no attempts", func(s *Spec) { s.Routes[0].MaxAttempts = 0 }, "attempts must be at least 1"},
-		{"twice", func(s *Spec) { s.Routes[1].Name = "root" }, "route root: stands twice"},
-		{"engine", func(s *Spec) { s.Services[1].Engine.Slots = 0 }, "engine without slots"},
+		{"twice", func(s *Spec) { s.Routes[1].Name = "root" }, "route root: is defined twice"},
+		{"engine", func(s *Spec) { s.Services[1].Engine.Slots = 0 }, "engine has no slots"},
 		{"shared key", func(s *Spec) { s.Customers = append(s.Customers, Customer{Name: "d", Keys: []string{"k1"}}) }, "shares a key with c"},
 	}
 	for _, tc := range tests {
