--- a/claim/batch.go
+++ b/claim/batch.go
@@ -9,10 +9,10 @@
 	"zinccove.example/zinccove/platform"
 )
 
-// maxBatch bounds the writes of one transaction.
+// maxBatch is the maximum number of writes in one transaction.
 const maxBatch = 64
 
-// write is one row to be written if it is at the checked version.
+// write is a row to be written if it is at the checked revision.
 type write struct {
 	check platform.Check
 	put   platform.Put
@@ -24,8 +24,7 @@
 	result chan error
 }
 
-// batcher makes one transaction of the writes that arrive while another is
-// under way.
+// batcher combines the writes that arrive while a transaction is in progress into the next one.
 type batcher struct {
 	commit func(context.Context, platform.Txn) error
 	queue  chan pending
@@ -38,7 +37,7 @@
 	return b
 }
 
-// close waits for the writes under way. No write may start after it.
+// close waits for the writes in progress. No write may start after it.
 func (b *batcher) close() {
 	close(b.queue)
 	b.group.Wait() //nolint:errcheck // the goroutine returns no error
@@ -52,13 +51,13 @@
 	select {
 	case b.queue <- p:
 	case <-ctx.Done():
-		return eris.Wrap(platform.ErrUnavailable, "claim was not sent in time")
+		return eris.Wrap(platform.ErrUnavailable, "context ended before the claim was sent")
 	}
 	select {
 	case err := <-p.result:
 		return err
 	case <-ctx.Done():
-		return eris.Wrap(platform.ErrUnknownOutcome, "claim was not answered in time")
+		return eris.Wrap(platform.ErrUnknownOutcome, "context ended before the response to the claim")
 	}
 }
 
@@ -69,7 +68,7 @@
 	return nil
 }
 
-// collect returns the writes that wait now, at most one for each row.
+// collect returns the pending writes, at most one for each row.
 func (b *batcher) collect(first pending) []pending {
 	batch := []pending{first}
 	rows := map[string]bool{first.write.put.Key: true}
@@ -92,9 +91,9 @@
 	return batch
 }
 
-// send commits a batch within the table client's own timeout, whatever the
-// contexts of its writes. A conflict concerns one row; that write is answered
-// and the others are sent again.
+// send commits a batch within the table client's own timeout, independent of the contexts of its
+// writes. A conflict concerns one row; that write gets the conflict as its result and the others
+// are sent again.
 func (b *batcher) send(batch []pending) {
 	for len(batch) > 0 {
 		var t platform.Txn
@@ -105,19 +104,19 @@
 		err := b.commit(context.Background(), t)
 		var conflict *platform.ConflictError
 		if !eris.As(err, &conflict) {
-			answer(batch, err)
+			resolve(batch, err)
 			return
 		}
 		rest := withoutRow(batch, conflict)
 		if len(rest) == len(batch) {
-			answer(batch, err)
+			resolve(batch, err)
 			return
 		}
 		batch = rest
 	}
 }
 
-func answer(batch []pending, err error) {
+func resolve(batch []pending, err error) {
 	for _, p := range batch {
 		p.result <- err
 	}
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,35 +1,35 @@
-// Package claim makes sure that a request that may not be repeated runs at
-// most once in the whole fleet.
+// Package claim ensures that a request that may not be repeated runs at most once in the whole
+// fleet.
 //
-// Before such a request is sent to a target, its Idempotency-Key is claimed by
-// a row of the platform's table that is inserted only if absent. Whoever finds
-// the row learns what became of the first request. A claim is never taken
-// over: a router that dies or pauses after claiming leaves the outcome
-// unknown, which is safe. A request that ended without running gives its claim
-// back, so that the key can be used again.
+// Before such a request is sent to a target, its Idempotency-Key is claimed with a row of the
+// platform's table that is inserted only if absent. A router that finds the row reads the state of
+// the first request from it. A claim is never taken over: a router that fails or pauses after
+// claiming leaves the outcome unknown, which is safe. A request that ended without running
+// releases its claim, so that the key can be used again.
 //
 // # Usage
 //
 //	s := claim.New(claim.Options{Table: client.Table(), Clock: clock})
 //	defer s.Close()
-//	held, earlier, err := s.Claim(ctx, claim.Key{Customer: 7, Text: key}, requestID)
+//	claimed, earlier, err := s.Claim(ctx, claim.Key{Customer: 7, Text: key}, requestID)
 //	switch {
 //	case err != nil:        // not claimed: refuse, the request did not run
-//	case earlier != nil:    // somebody else's: tell what became of it
+//	case earlier != nil:    // claimed by another request: return its state
 //	default:                // run it, then
-//		err = s.Settle(ctx, held, claim.Record{State: claim.Answered, Status: 200})
+//		err = s.Finish(ctx, claimed, claim.Record{State: claim.Answered, Status: 200})
 //	}
 //
-// # A table that comes back from a copy
+// # Restored tables
 //
-// The table may come back from a copy that lacks its latest claims. Routers write theirs of
-// the last minute again as soon as they know (Renew, to be called often), and claim nothing
-// for some time after that, so that no call runs a second time whose claim was lost.
+// The table may be restored from a backup that lacks its latest claims. Routers rewrite their
+// claims of the last minute as soon as they notice (Recover, to be called often), and make no
+// claims for some time after that, so that no request runs a second time because its claim was
+// lost.
 //
 // # Batches
 //
-// Claims and records that arrive while a write is under way go together into
-// the next one, so the table sees far fewer writes than requests.
+// Claims and records that arrive while a write is in progress are combined in the next one, so the
+// table receives far fewer writes than requests.
 package claim
 
 import (
@@ -49,15 +49,15 @@
 	"zinccove.example/zinccove/revision"
 )
 
-// State is what is known of a claimed request.
+// State is the state of a claimed request.
 type State string
 
 // The states.
 const (
-	// Running requests were claimed; their end is not recorded. They may be
-	// running, or their router died.
+	// Running requests were claimed and have no outcome recorded. They may be running, or their
+	// router failed.
 	Running State = "running"
-	// Answered requests ran; their answer is recorded.
+	// Answered requests ran; their response is recorded.
 	Answered State = "answered"
 	// NotRun requests did not run; the key may be claimed again.
 	NotRun State = "not_run"
@@ -65,16 +65,15 @@
 	Unknown State = "unknown"
 )
 
-// Key names a request that may not be repeated.
+// Key identifies a request that may not be repeated.
 type Key struct {
-	// Customer is the customer's number; keys of customers do not meet.
+	// Customer is the customer's number; each customer has its own keys.
 	Customer uint32
 	// Text is the caller's Idempotency-Key.
 	Text string
 }
 
-// row returns the key of the table, which has a bounded length whatever the
-// caller sends.
+// row returns the key of the row, whose length is bounded whatever the caller sends.
 func (k Key) row() string {
 	sum := sha256.Sum256([]byte(k.Text))
 	return fmt.Sprintf("claim/%d/%s", k.Customer, hex.EncodeToString(sum[:]))
@@ -82,20 +81,19 @@
 
 // Record is the value of a claim's row.
 type Record struct {
-	// Request is the id of the request that holds the claim. It is unique, so
-	// it also tells whose write a row is.
+	// Request is the ID of the request that holds the claim. It is unique, so it also identifies
+	// the writer of a row.
 	Request string    `json:"request"`
 	State   State     `json:"state"`
 	At      time.Time `json:"at"`
-	// Status, ContentType and Body are the answer. Bodies over MaxBody are not
-	// kept.
+	// Status, ContentType and Body are the response. Bodies larger than MaxBody are not stored.
 	Status      int    `json:"status,omitempty"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
 	BodyOmitted bool   `json:"body_lost,omitempty"`
 }
 
-// MaxBody is the largest answer that is kept, in bytes.
+// MaxBody is the size of the largest body that is stored, in bytes.
 const MaxBody = 16 << 10
 
 // Claim is a claim that this router holds.
@@ -112,10 +110,10 @@
 
 // Store claims keys until Close. It is safe for concurrent use.
 type Store struct {
-	table   platform.Table
-	clock   clockwork.Clock
-	batcher *batcher
-	lost    lost
+	table    platform.Table
+	clock    clockwork.Clock
+	batcher  *batcher
+	recovery recovery
 }
 
 // New returns a store.
@@ -123,40 +121,39 @@
 	return &Store{table: o.Table, clock: o.Clock, batcher: newBatcher(o.Table.Commit)}
 }
 
-// Close waits for the writes under way.
+// Close waits for the writes in progress.
 func (s *Store) Close() {
-	s.lost.group.Wait() //nolint:errcheck // what was not written again is lost
+	s.recovery.group.Wait() //nolint:errcheck // records that were not rewritten are lost
 	s.batcher.close()
 }
 
-// claimTries bounds how often a claim meets others or lost answers.
-const claimTries = 5
+// maxClaimAttempts limits the retries of a claim after conflicts and lost responses.
+const maxClaimAttempts = 5
 
-// errAgain means that the table came back from a copy which may lack earlier claims.
-var errAgain = eris.Wrap(platform.ErrUnavailable, "routers are writing claims again that the table lost")
+// errRecovering means that the table was restored from a backup that may lack earlier claims.
+var errRecovering = eris.Wrap(platform.ErrUnavailable, "routers are rewriting claims that the table lost")
 
-// Claim claims a key for the request with the given id, which must not have
-// been used before. It returns either the held claim or the earlier record.
-// An error means that nothing is claimed as far as this router will ever
-// know, so the request must not be run.
+// Claim claims a key for the request with the given ID, which must not have been used before. It
+// returns either the claim or the earlier record. An error means that the key is not claimed as
+// far as this router will ever know, so the request must not be run.
 func (s *Store) Claim(ctx context.Context, k Key, request string) (*Claim, *Record, error) {
 	if !s.Recover() {
-		return nil, nil, errAgain
+		return nil, nil, errRecovering
 	}
 	era := s.table.Era()
 	held, earlier, err := s.claim(ctx, k.row(), request)
 	if held != nil && s.table.Era() != era {
-		// The answer told of a new era: an earlier claim may have been lost with the last one.
+		// The response has a new era: the restored table may lack an earlier claim of this key.
 		err := s.Finish(ctx, held, Record{State: NotRun})
 		s.Recover()
-		return nil, nil, errors.Join(errAgain, err)
+		return nil, nil, errors.Join(errRecovering, err)
 	}
 	return held, earlier, err
 }
 
 func (s *Store) claim(ctx context.Context, key, request string) (*Claim, *Record, error) {
 	var at revision.Revision
-	for range claimTries {
+	for range maxClaimAttempts {
 		held := &Claim{key: key, request: request}
 		err := s.write(ctx, held, at, Record{Request: request, State: Running})
 		if err == nil {
@@ -182,34 +179,34 @@
 	return nil, nil, errs.Wrap(platform.ErrUnavailable, "claim", "")
 }
 
-// Finish records how a claimed request ended. An error means that the record
-// may be missing; others that use the key are then told that it is running.
+// Finish records how a claimed request ended. An error means that the record may be missing; other
+// requests with the key then find it running.
 func (s *Store) Finish(ctx context.Context, held *Claim, rec Record) error {
 	rec.Request = held.request
 	if len(rec.Body) > MaxBody {
 		rec.Body, rec.BodyOmitted = nil, true
 	}
-	for range settleTries {
+	for range maxFinishAttempts {
 		row, now, err := s.read(ctx, held.key)
 		switch {
 		case eris.Is(err, platform.ErrNotFound):
-			row.Revision = revision.Revision{} // lost by the table
+			row.Revision = revision.Revision{} // the restored table lacks the row
 		case err != nil:
 			return err
 		case now.Request != held.request:
-			return errs.Wrap(&platform.ConflictError{Key: held.key}, "settle", "")
+			return errs.Wrap(&platform.ConflictError{Key: held.key}, "finish claim", "")
 		case now.State == rec.State:
-			return nil // the answer to the write was lost
+			return nil // the response to the write was lost
 		}
 		if err = s.write(ctx, held, row.Revision, rec); !platform.NeedsReread(err) {
 			return err
 		}
 	}
-	return errs.Wrap(platform.ErrUnknownOutcome, "settle", "")
+	return errs.Wrap(platform.ErrUnknownOutcome, "finish claim", "")
 }
 
-// settleTries bounds how often a record meets lost answers.
-const settleTries = 3
+// maxFinishAttempts limits the retries of a record after conflicts and lost responses.
+const maxFinishAttempts = 3
 
 // Get returns the record of a key; a missing one is platform.ErrNotFound.
 func (s *Store) Get(ctx context.Context, k Key) (*Record, error) {
@@ -227,7 +224,7 @@
 	return row, rec, errs.Wrap(err, "decode claim", "")
 }
 
-// write puts a record over the given revision of the row, and remembers it.
+// write writes a record over the given revision of the row, and remembers it.
 func (s *Store) write(ctx context.Context, held *Claim, at revision.Revision, rec Record) error {
 	rec.At = s.clock.Now()
 	value, err := json.Marshal(rec)
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -80,9 +80,8 @@
 	assert.Assert(t, rec.BodyOmitted && rec.Body == nil)
 }
 
-// TestFaultsAtEveryCall makes each kind of failure at each call to the table
-// in turn, and at each two calls, and checks that at most one of two claims is
-// held and that a claim which is not held leaves no doubt about the other.
+// TestFaultsAtEveryCall injects each kind of failure into each call to the table, and into each
+// pair of calls, and checks that at most one of two claims is held.
 func TestFaultsAtEveryCall(t *testing.T) {
 	ctx := context.Background()
 	faults := []platformtest.Failure{platformtest.Down, platformtest.LostRequest, platformtest.LostResponse}
@@ -121,8 +120,8 @@
 	earlier string
 }
 
-// claimModel is a register that only the first claim sets. A claim that ended
-// with an error may have set it or not.
+// claimModel is a register that only the first claim sets. A claim that ended with an error may or
+// may not have set it.
 var claimModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
--- a/claim/recover.go
+++ b/claim/recover.go
@@ -14,27 +14,26 @@
 )
 
 const (
-	// againTime is the time that all routers get to write their claims again: some of
-	// their looks at the table, and the writes.
-	againTime = 2 * time.Second
-	// mostRecent bounds the claims that are remembered to be written again; each takes
-	// as much as its answer.
-	mostRecent = 512
+	// recoveryTime is the time that all routers get to rewrite their claims: a few of their calls
+	// to Recover, and the writes.
+	recoveryTime = 2 * time.Second
+	// maxRecent limits the number of claims that are kept in memory to be rewritten; each takes as
+	// much memory as its response.
+	maxRecent = 512
 )
 
-// lost is what the table may lose: the latest records of this router.
-type lost struct {
+// recovery holds the latest records of this router, which a restored table may lack.
+type recovery struct {
 	group errgroup.Group
 
 	mu sync.Mutex
-	// era is that of the table. Claims are refused until closed after a new one.
-	era    uint64
-	closed time.Time
-	recent []recent
-	// again are the records that are to be written again, writing is set while that is
-	// under way.
-	again   []recent
-	writing bool
+	// era is the known era of the table. After a new one claims are refused until refuseUntil.
+	era         uint64
+	refuseUntil time.Time
+	recent      []recent
+	// rewrites are the records to be rewritten, rewriting is set while that is in progress.
+	rewrites  []recent
+	rewriting bool
 }
 
 // recent is a record and when it was written.
@@ -44,9 +43,9 @@
 	at   time.Time
 }
 
-// remember keeps a record that was written, in place of an earlier one of its key.
+// remember stores a record that was written, replacing an earlier one of its claim.
 func (s *Store) remember(h Claim, rec Record) {
-	l := &s.lost
+	l := &s.recovery
 	now := s.clock.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,80 +55,81 @@
 			kept = append(kept, r)
 		}
 	}
-	if len(kept) >= mostRecent {
+	if len(kept) >= maxRecent {
 		kept = kept[1:]
 	}
 	l.recent = append(kept, recent{held: h, rec: rec, at: now})
 }
 
-// Recover reports whether claims may be made. After the table came back from a copy it
-// writes this router's latest claims again, and claims are refused until others had time to.
+// Recover reports whether claims may be made. After the table was restored from a backup it
+// rewrites this router's latest claims, and claims are refused until other routers had time to.
 func (s *Store) Recover() bool {
-	l := &s.lost
+	l := &s.recovery
 	now, era := s.clock.Now(), s.table.Era()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if era > l.era {
-		l.era, l.closed = era, now.Add(againTime)
-		l.again = slices.Clone(l.recent)
+		l.era, l.refuseUntil = era, now.Add(recoveryTime)
+		l.rewrites = slices.Clone(l.recent)
 	}
-	open := !now.Before(l.closed)
-	if len(l.again) > 0 && !l.writing && !open {
-		l.writing = true
-		l.group.Go(s.writeAgain)
+	open := !now.Before(l.refuseUntil)
+	if len(l.rewrites) > 0 && !l.rewriting && !open {
+		l.rewriting = true
+		l.group.Go(s.rewriteAll)
 	}
 	return open
 }
 
-// writeAgain writes records that the table lost, or that it holds as they were before. What
-// could not be written is left to the next look.
-func (s *Store) writeAgain() error {
-	l := &s.lost
+// rewriteAll writes records that the table lacks, or holds in an earlier state. Records that could
+// not be written are left to the next call of Recover.
+func (s *Store) rewriteAll() error {
+	l := &s.recovery
 	l.mu.Lock()
-	all := l.again
+	all := l.rewrites
 	l.mu.Unlock()
-	ctx, cancel := context.WithTimeout(context.Background(), againTime)
+	ctx, cancel := context.WithTimeout(context.Background(), recoveryTime)
 	defer cancel()
 	left := make([]bool, len(all))
 	var g errgroup.Group
 	g.SetLimit(maxBatch)
 	for i, r := range all {
 		g.Go(func() error {
-			left[i] = !s.writeOne(ctx, r)
+			left[i] = !s.rewriteOne(ctx, r)
 			return nil
 		})
 	}
 	err := g.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.again, l.writing = nil, false
+	l.rewrites, l.rewriting = nil, false
 	for i, r := range all {
 		if left[i] {
-			l.again = append(l.again, r)
+			l.rewrites = append(l.rewrites, r)
 		}
 	}
 	return err
 }
 
-// follows reports whether the record comes after one that the table holds: the same call
-// running, or another one that gave the key back. All else is as new, or another router's.
-func (r *recent) follows(now *Record) bool {
+// supersedes reports whether the record is later than the one in the table: that is of the same
+// request while it was running, or of another one that released the key. All other records in the
+// table are as new, or another router's.
+func (r *recent) supersedes(now *Record) bool {
 	if now.Request != r.held.request {
 		return now.State == NotRun && r.rec.State != NotRun
 	}
 	return now.State == Running && r.rec.State != Running
 }
 
-// writeOne writes one record if the table lacks it, and reports whether it has it now. A
-// claim of another router that learned of the new era with it is given back soon.
-func (s *Store) writeOne(ctx context.Context, r recent) bool {
+// rewriteOne writes a record if the table lacks it, and reports whether the table has it now. A
+// claim of another router that learned of the new era by that very write is released soon.
+func (s *Store) rewriteOne(ctx context.Context, r recent) bool {
 	row, now, err := s.read(ctx, r.held.key)
 	switch {
 	case eris.Is(err, platform.ErrNotFound):
 		row.Revision = revision.Revision{}
 	case err != nil:
 		return false
-	case !r.follows(now):
+	case !r.supersedes(now):
 		return now.Request == r.held.request || now.State != Running
 	}
 	return s.write(ctx, &r.held, row.Revision, r.rec) == nil
--- a/claim/recover_test.go
+++ b/claim/recover_test.go
@@ -13,9 +13,9 @@
 	"zinccove.example/zinccove/platform/platformtest"
 )
 
-// TestClaimThatTheTableLostIsNotGivenTwice has the table come back from a copy without a
-// claim whose call runs. Another router must not claim the key, whether it knows of the new
-// era before it writes or learns of it by the answer.
+// TestClaimLostByTheTableIsNotGrantedTwice restores the table from a backup without the claim of a
+// running request. Another router must not claim the key, whether it knows of the new era before
+// it writes or learns of it from the response.
 func TestClaimThatTheTableLostIsNotGivenTwice(t *testing.T) {
 	ctx := context.Background()
 	for _, knows := range []bool{true, false} {
@@ -41,17 +41,17 @@
 		assert.Assert(t, errs.Is(err, platform.ErrUnavailable), "%v", err)
 		assert.Assert(t, two == nil && earlier == nil)
 		first.Recover()
-		assert.NilError(t, first.lost.group.Wait())
-		clock.Advance(againTime + time.Millisecond)
+		assert.NilError(t, first.recovery.group.Wait())
+		clock.Advance(recoveryTime + time.Millisecond)
 		two, earlier, err = second.Claim(ctx, testKey, "two")
 		assert.NilError(t, err)
-		assert.Assert(t, two == nil && earlier != nil, "the key is claimed again, router knows: %v", knows)
+		assert.Assert(t, two == nil && earlier != nil, "the key was claimed twice, router knows the era: %v", knows)
 		first.Close()
 		second.Close()
 	}
 }
 
-// TestAnswerThatTheTableLostIsWrittenAgain has the copy hold the claim, and not how it ended.
+// TestRecordLostByTheTableIsRewritten restores a backup that has the claim, but not its outcome.
 func TestAnswerThatTheTableLostIsWrittenAgain(t *testing.T) {
 	ctx := context.Background()
 	m, clock := platformtest.New(), clockwork.NewFakeClock()
@@ -63,13 +63,13 @@
 	assert.NilError(t, s.Finish(ctx, held, Record{State: Answered, Status: 200}))
 	goBack()
 	assert.Assert(t, !s.Recover())
-	assert.NilError(t, s.lost.group.Wait())
+	assert.NilError(t, s.recovery.group.Wait())
 	rec, err := s.Get(ctx, testKey)
 	assert.NilError(t, err)
 	assert.Equal(t, rec.State, Answered)
 }
 
-// TestCallThatRunsWhileTheTableGoesBackIsSettled has the row of a claim gone when its call ends.
+// TestRequestRunningDuringARestoreIsFinished restores a backup without the claim of a request.
 func TestCallThatRunsWhileTheTableGoesBackIsSettled(t *testing.T) {
 	ctx := context.Background()
 	m := platformtest.New()
