--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -64,7 +64,7 @@
 	assert.NilError(t, a.Step(ctx))
 	number, ok := a.Held()
 	assert.Assert(t, ok)
-	assert.Equal(t, number, uint64(2), "a lease that ran out gets a new number")
+	assert.Equal(t, number, uint64(2), "an expired lease gets a new number")
 }
 
 func TestLostAnswerOfTheFirstWriteIsFoundAgain(t *testing.T) {
@@ -85,10 +85,9 @@
 	assert.Equal(t, number, uint64(2))
 }
 
-// TestNeverTwoHolders runs random steps, pauses and failures of the table and
-// checks that at most one router holds the lease at any time, that numbers
-// never go back from one holder to the next, and that the lease is taken again
-// when the failures end.
+// TestNeverTwoHolders runs random steps, pauses and failures of the table and checks that at most
+// one router holds the lease at any time, that numbers never decrease from one holder to the next,
+// and that the lease is taken again when the failures end.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, clock := platformtest.New(), clockwork.NewFakeClock()
@@ -118,7 +117,7 @@
 			clock.Advance(time.Second)
 		}
 		if highest = checkHolders(t, leases, highest); highest == 0 {
-			t.Fatal("nobody holds the lease after the failures ended")
+			t.Fatal("no router holds the lease after the failures ended")
 		}
 	})
 }
@@ -143,9 +142,9 @@
 	return highest
 }
 
-// TestLeaseThatTheTableLostIsNotGivenToAnother has the table come back from a copy in which
-// the lease is not there, or belongs to the holder before. The holder writes it again; the
-// others wait, and no number is given out twice.
+// TestLeaseLostByTheTableIsNotGrantedToAnother restores the table from a backup in which the lease
+// is missing, or belongs to the previous holder. The holder writes it again; the others wait, and
+// no number is assigned twice.
 func TestLeaseThatTheTableLostIsNotGivenToAnother(t *testing.T) {
 	for _, before := range []bool{false, true} {
 		m, clock := platformtest.New(), clockwork.NewFakeClock()
@@ -170,7 +169,7 @@
 		again, ok := a.Held()
 		assert.Assert(t, ok)
 		assert.Equal(t, again, number)
-		// The holder falls silent: the other one takes the lease after its time.
+		// The holder stops renewing: the other router takes the lease after it expired.
 		for range 6 {
 			assert.NilError(t, b.Step(ctx))
 			clock.Advance((ttl + flight) / 5)
@@ -184,11 +183,11 @@
 	}
 }
 
-// TestNumbersOfANewEraAreAboveThoseThatWereLost has the holder end with the table's last
-// seconds, so that nobody can write its number again.
+// TestNumbersOfANewEraAreAboveThoseThatWereLost has the holder stop in the interval that the
+// backup lacks, so that no router can write its number again.
 func TestNumbersOfANewEraAreAboveThoseThatWereLost(t *testing.T) {
 	m, clock := platformtest.New(), clockwork.NewFakeClock()
-	goBack := m.Backup()
+	restore := m.Backup()
 	lost := uint64(0)
 	for n := range 5 {
 		l := newLease(m, clock, fmt.Sprint("h", n))
@@ -199,7 +198,7 @@
 		assert.NilError(t, l.Step(ctx))
 		lost, _ = l.Held()
 	}
-	goBack()
+	restore()
 	l := newLease(m, clock, "after")
 	assert.NilError(t, l.Step(ctx))
 	clock.Advance(ttl + flight)
--- a/order/order.go
+++ b/order/order.go
@@ -1,24 +1,21 @@
-// Package order brings the targets that take orders into the state that the
-// configuration declares: which version of the model is loaded.
+// Package order brings the targets that take orders into the state that the configuration
+// declares: the version of the model to be loaded.
 //
-// One router of a data centre at a time gives orders, the holder of a lease.
-// Orders set a state, so giving one twice does no harm. Each carries the
-// lease's fencing number; targets that check it refuse orders of earlier
-// holders. For targets that do not check, the holder looks at their state again
-// and again and repeats the order until it is what is wanted. A late order of
-// an earlier holder can then set such a target back for at most one period
-// plus the time to load.
+// One router of a data centre at a time sends orders, the holder of a lease. Orders set a state,
+// so sending one twice is harmless. Each carries the lease's fencing number; targets that check it
+// refuse orders of earlier holders. For targets that do not check, the holder reads their state
+// periodically and repeats the order until the state is as declared. A late order of an earlier
+// holder can then revert such a target for at most one period plus the time to load.
 //
 // # Usage
 //
 //	r := order.New(order.Options{Lease: lease, Clock: clock, Dial: nil})
-//	done, failed := r.Reconcile(targets)   // again and again
+//	result := r.Reconcile(targets)   // periodically
 //
 // # Protocol of targets
 //
-// GET /v1/state answers {"model_version": V, "loading": V}. POST /v1/orders
-// with {"fence": N, "model_version": V} orders a version; 409 means that the
-// number is old.
+// GET /v1/state returns {"model_version": V, "loading": V}. POST /v1/orders with
+// {"fence": N, "model_version": V} orders a version; 409 means that the number is old.
 package order
 
 import (
@@ -37,7 +34,7 @@
 	"zinccove.example/zinccove/lease"
 )
 
-// State is what a target reports of itself.
+// State is the state that a target reports.
 type State struct {
 	ModelVersion string `json:"model_version"`
 	// Loading is the version being loaded, empty if none is.
@@ -51,11 +48,10 @@
 	ModelVersion string `json:"model_version"`
 }
 
-// ErrFenced means that a target refused an order because a later holder has
-// given it orders.
+// ErrFenced means that a target refused an order because it has received orders of a later holder.
 var ErrFenced = eris.New("order has an old fencing number")
 
-// Timeout is the longest time that an order is under way.
+// Timeout is the longest time that an order is in flight.
 const Timeout = time.Second
 
 // Options configure a reconciler.
@@ -70,7 +66,7 @@
 type Reconciler struct {
 	lease *lease.Lease
 	clock clockwork.Clock
-	// state and send are the seams that tests replace.
+	// state and send are replaced by tests.
 	state func(addr netip.AddrPort) (State, error)
 	send  func(addr netip.AddrPort, o Order) error
 }
@@ -81,16 +77,15 @@
 	return &Reconciler{lease: o.Lease, clock: o.Clock, state: c.state, send: c.send}
 }
 
-// Result counts what one round did.
+// Result counts the effects of one call of Reconcile.
 type Result struct {
-	// Sent is the number of orders given, Fenced of those refused for an old
-	// number, Failed of targets that could not be asked or ordered.
+	// Sent is the number of orders sent, Fenced of those refused for an old number, Failed of
+	// targets that could not be read or ordered.
 	Sent, Fenced, Failed int
 }
 
-// Reconcile looks at each target that takes orders and orders those that are
-// not as declared. The lease is checked right before each order; without it
-// nothing is done.
+// Reconcile reads the state of each target that takes orders and orders those whose state is not
+// as declared. The lease is checked immediately before each order; without it nothing is done.
 func (r *Reconciler) Reconcile(targets []config.Target) Result {
 	var res Result
 	for i := range targets {
@@ -101,12 +96,12 @@
 		if _, held := r.lease.Held(); !held {
 			return res
 		}
-		r.target(t, &res)
+		r.reconcileTarget(t, &res)
 	}
 	return res
 }
 
-func (r *Reconciler) target(t *config.Target, res *Result) {
+func (r *Reconciler) reconcileTarget(t *config.Target, res *Result) {
 	s, err := r.state(t.Address)
 	if err != nil {
 		res.Failed++
@@ -130,13 +125,13 @@
 	}
 }
 
-// client talks to targets.
+// client sends requests to targets.
 type client struct {
 	clock clockwork.Clock
 	dial  httpc.Dial
 }
 
-// maxState bounds a target's answer in bytes.
+// maxState limits the size of a target's response in bytes.
 const maxState = 64 << 10
 
 func (c *client) do(addr netip.AddrPort, method, path string, body []byte) (int, []byte, error) {
@@ -161,7 +156,7 @@
 	if err == nil {
 		err = json.Unmarshal(body, &s)
 	}
-	return s, errs.Wrap(err, "read state", addr.String())
+	return s, errs.Wrap(err, "read target state", addr.String())
 }
 
 func (c *client) send(addr netip.AddrPort, o Order) error {
@@ -177,5 +172,5 @@
 	case status != fasthttp.StatusOK:
 		err = eris.Errorf("status %d", status)
 	}
-	return errs.Wrap(err, "give order", addr.String())
+	return errs.Wrap(err, "send order", addr.String())
 }
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -20,34 +20,34 @@
 
 // engine is a target that loads versions at once.
 type engine struct {
-	checks  bool
-	fence   uint64
-	version string
-	// taken are the numbers of the orders that took effect.
-	taken []uint64
+	checksFence bool
+	fence       uint64
+	version     string
+	// accepted are the numbers of the orders that took effect.
+	accepted []uint64
 }
 
 func (e *engine) order(o Order) error {
-	if e.checks && o.Fence < e.fence {
+	if e.checksFence && o.Fence < e.fence {
 		return ErrFenced
 	}
 	e.fence = max(e.fence, o.Fence)
 	e.version = o.ModelVersion
-	e.taken = append(e.taken, o.Fence)
+	e.accepted = append(e.accepted, o.Fence)
 	return nil
 }
 
-// giver is a router that gives orders to one engine. Orders wait in flight
-// until the test delivers them.
-type giver struct {
+// sender is a router that sends orders to one engine. Orders stay in flight until the test
+// delivers them.
+type sender struct {
 	*Reconciler
 	lease  *lease.Lease
 	flight []Order
 }
 
-func newGiver(m *platformtest.Memory, clock clockwork.Clock, name string, e *engine) *giver {
+func newSender(m *platformtest.Memory, clock clockwork.Clock, name string, e *engine) *sender {
 	l := lease.New(lease.Options{Table: m.Table(), Clock: clock, Name: "orders/dc1", Holder: name, TTL: ttl, OrderTimeout: Timeout})
-	g := &giver{Reconciler: New(Options{Lease: l, Clock: clock}), lease: l}
+	g := &sender{Reconciler: New(Options{Lease: l, Clock: clock}), lease: l}
 	g.state = func(netip.AddrPort) (State, error) { return State{ModelVersion: e.version}, nil }
 	g.send = func(_ netip.AddrPort, o Order) error {
 		g.flight = append(g.flight, o)
@@ -56,8 +56,8 @@
 	return g
 }
 
-// deliver lets the oldest order in flight reach the engine.
-func (g *giver) deliver(e *engine) error {
+// deliver delivers the oldest order in flight to the engine.
+func (g *sender) deliver(e *engine) error {
 	if len(g.flight) == 0 {
 		return nil
 	}
@@ -72,8 +72,8 @@
 
 func TestOrdersAreGivenUntilTheStateIsWanted(t *testing.T) {
 	e := &engine{version: "v1"}
-	g := newGiver(platformtest.New(), clockwork.NewFakeClock(), "a", e)
-	assert.Equal(t, g.Reconcile(wanted("v2")), Result{}, "no lease, no order")
+	g := newSender(platformtest.New(), clockwork.NewFakeClock(), "a", e)
+	assert.Equal(t, g.Reconcile(wanted("v2")), Result{}, "no orders without the lease")
 	assert.NilError(t, g.lease.Step(context.Background()))
 	assert.Equal(t, g.Reconcile(wanted("v2")), Result{Sent: 1})
 	assert.NilError(t, g.deliver(e))
@@ -81,13 +81,13 @@
 	assert.Equal(t, g.Reconcile([]config.Target{{Name: "other", ModelVersion: "v9"}}), Result{})
 }
 
-// TestOldHoldersOrdersDoNotStand lets a holder freeze with an order in flight,
-// another take over, and the old order arrive at the worst time.
+// TestOrdersOfAnOldHolderAreUndone pauses a holder with an order in flight, lets another take
+// over, and delivers the old order at the worst time.
 func TestOldHoldersOrdersDoNotStand(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		m, clock := platformtest.New(), clockwork.NewFakeClock()
-		e := &engine{version: "v1", checks: checks}
-		a, b := newGiver(m, clock, "a", e), newGiver(m, clock, "b", e)
+		e := &engine{version: "v1", checksFence: checks}
+		a, b := newSender(m, clock, "a", e), newSender(m, clock, "b", e)
 		ctx := context.Background()
 		assert.NilError(t, a.lease.Step(ctx))
 		a.Reconcile(wanted("old"))
@@ -97,7 +97,7 @@
 		}
 		assert.Equal(t, b.Reconcile(wanted("new")), Result{Sent: 1})
 		assert.NilError(t, b.deliver(e))
-		assert.Equal(t, a.Reconcile(wanted("old")), Result{}, "a holder that wakes late orders nothing")
+		assert.Equal(t, a.Reconcile(wanted("old")), Result{}, "a holder whose lease expired during a pause sends no orders")
 
 		err := a.deliver(e)
 		assert.Equal(t, errors.Is(err, ErrFenced), checks)
@@ -107,13 +107,13 @@
 	}
 }
 
-// TestNumbersNeverGoBackAtCheckingTargets runs random steps, pauses, flights
-// and failures with two routers.
+// TestNumbersNeverGoBackAtCheckingTargets runs random steps, pauses, delays and failures with two
+// routers.
 func TestNumbersNeverGoBackAtCheckingTargets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, clock := platformtest.New(), clockwork.NewFakeClock()
-		e := &engine{version: "v0", checks: true}
-		givers := []*giver{newGiver(m, clock, "a", e), newGiver(m, clock, "b", e)}
+		e := &engine{version: "v0", checksFence: true}
+		givers := []*sender{newSender(m, clock, "a", e), newSender(m, clock, "b", e)}
 		want := "v0"
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			g := givers[rapid.IntRange(0, 1).Draw(t, "router")]
@@ -129,9 +129,9 @@
 			}
 			clock.Advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 		}
-		for i := 1; i < len(e.taken); i++ {
-			if e.taken[i] < e.taken[i-1] {
-				t.Fatalf("orders took effect with numbers %v", e.taken)
+		for i := 1; i < len(e.accepted); i++ {
+			if e.accepted[i] < e.accepted[i-1] {
+				t.Fatalf("orders took effect with numbers %v", e.accepted)
 			}
 		}
 	})
