--- a/claim/claim.go
+++ b/claim/claim.go
@@ -187,15 +187,15 @@
 		rec.Body, rec.BodyOmitted = nil, true
 	}
 	for range maxFinishAttempts {
-		row, now, err := s.read(ctx, held.key)
+		row, current, err := s.read(ctx, held.key)
 		switch {
 		case eris.Is(err, platform.ErrNotFound):
 			row.Revision = revision.Revision{} // the restored table lacks the row
 		case err != nil:
 			return err
-		case now.Request != held.request:
+		case current.Request != held.request:
 			return errs.Wrap(&platform.ConflictError{Key: held.key}, "finish claim", "")
-		case now.State == rec.State:
+		case current.State == rec.State:
 			return nil // the response to the write was lost
 		}
 		if err = s.write(ctx, held, row.Revision, rec); !platform.NeedsReread(err) {
--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -23,7 +23,7 @@
 	return New(Options{Table: m.Table(), Clock: clockwork.NewFakeClock()})
 }
 
-func TestDuplicateLearnsWhatBecameOfTheFirst(t *testing.T) {
+func TestDuplicateReturnsTheFirstRecord(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ctx := context.Background()
 	m := platformtest.New()
@@ -45,7 +45,7 @@
 	assert.Equal(t, string(earlier.Body), "done")
 }
 
-func TestKeyOfACallThatDidNotRunCanBeUsedAgain(t *testing.T) {
+func TestKeyOfARequestThatDidNotRunCanBeReused(t *testing.T) {
 	ctx := context.Background()
 	s := newStore(platformtest.New())
 	defer s.Close()
@@ -57,7 +57,7 @@
 	assert.Assert(t, again != nil && earlier == nil)
 }
 
-func TestCustomersKeysDoNotMeet(t *testing.T) {
+func TestKeysOfCustomersAreSeparate(t *testing.T) {
 	ctx := context.Background()
 	s := newStore(platformtest.New())
 	defer s.Close()
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestLargeAnswerIsNotKept(t *testing.T) {
+func TestLargeBodyIsOmitted(t *testing.T) {
 	ctx := context.Background()
 	s := newStore(platformtest.New())
 	defer s.Close()
@@ -182,7 +182,7 @@
 	})
 }
 
-func TestBatchesSaveWrites(t *testing.T) {
+func TestWritesAreBatched(t *testing.T) {
 	m := platformtest.New()
 	entered, release := make(chan struct{}), make(chan struct{})
 	table := m.Table()
--- a/claim/recover.go
+++ b/claim/recover.go
@@ -85,16 +85,16 @@
 func (s *Store) rewriteAll() error {
 	l := &s.recovery
 	l.mu.Lock()
-	all := l.rewrites
+	records := l.rewrites
 	l.mu.Unlock()
 	ctx, cancel := context.WithTimeout(context.Background(), recoveryTime)
 	defer cancel()
-	left := make([]bool, len(all))
+	failed := make([]bool, len(records))
 	var g errgroup.Group
 	g.SetLimit(maxBatch)
-	for i, r := range all {
+	for i, r := range records {
 		g.Go(func() error {
-			left[i] = !s.rewriteOne(ctx, r)
+			failed[i] = !s.rewriteOne(ctx, r)
 			return nil
 		})
 	}
@@ -102,8 +102,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.rewrites, l.rewriting = nil, false
-	for i, r := range all {
-		if left[i] {
+	for i, r := range records {
+		if failed[i] {
 			l.rewrites = append(l.rewrites, r)
 		}
 	}
@@ -113,24 +113,24 @@
 // supersedes reports whether the record is later than the one in the table: that is of the same
 // request while it was running, or of another one that released the key. All other records in the
 // table are as new, or another router's.
-func (r *recent) supersedes(now *Record) bool {
-	if now.Request != r.held.request {
-		return now.State == NotRun && r.rec.State != NotRun
+func (r *recent) supersedes(current *Record) bool {
+	if current.Request != r.held.request {
+		return current.State == NotRun && r.rec.State != NotRun
 	}
-	return now.State == Running && r.rec.State != Running
+	return current.State == Running && r.rec.State != Running
 }
 
 // rewriteOne writes a record if the table lacks it, and reports whether the table has it now. A
 // claim of another router that learned of the new era by that very write is released soon.
 func (s *Store) rewriteOne(ctx context.Context, r recent) bool {
-	row, now, err := s.read(ctx, r.held.key)
+	row, current, err := s.read(ctx, r.held.key)
 	switch {
 	case eris.Is(err, platform.ErrNotFound):
 		row.Revision = revision.Revision{}
 	case err != nil:
 		return false
-	case !r.supersedes(now):
-		return now.Request == r.held.request || now.State != Running
+	case !r.supersedes(current):
+		return current.Request == r.held.request || current.State != Running
 	}
 	return s.write(ctx, &r.held, row.Revision, r.rec) == nil
 }
--- a/claim/recover_test.go
+++ b/claim/recover_test.go
@@ -16,13 +16,13 @@
 // TestClaimLostByTheTableIsNotGrantedTwice restores the table from a backup without the claim of a
 // running request. Another router must not claim the key, whether it knows of the new era before
 // it writes or learns of it from the response.
-func TestClaimThatTheTableLostIsNotGivenTwice(t *testing.T) {
+func TestClaimLostByTheTableIsNotGrantedTwice(t *testing.T) {
 	ctx := context.Background()
 	for _, knows := range []bool{true, false} {
 		m, clock := platformtest.New(), clockwork.NewFakeClock()
 		table := m.Table()
 		first, second := New(Options{Table: table, Clock: clock}), New(Options{Table: table, Clock: clock})
-		goBack := m.Backup()
+		restore := m.Backup()
 		held, _, err := first.Claim(ctx, testKey, "one")
 		assert.NilError(t, err)
 		assert.Assert(t, held != nil)
@@ -36,7 +36,7 @@
 				return table.Commit(ctx, txn)
 			})
 		}
-		goBack()
+		restore()
 		two, earlier, err := second.Claim(ctx, testKey, "two")
 		assert.Assert(t, errs.Is(err, platform.ErrUnavailable), "%v", err)
 		assert.Assert(t, two == nil && earlier == nil)
@@ -52,16 +52,16 @@
 }
 
 // TestRecordLostByTheTableIsRewritten restores a backup that has the claim, but not its outcome.
-func TestAnswerThatTheTableLostIsWrittenAgain(t *testing.T) {
+func TestRecordLostByTheTableIsRewritten(t *testing.T) {
 	ctx := context.Background()
 	m, clock := platformtest.New(), clockwork.NewFakeClock()
 	s := New(Options{Table: m.Table(), Clock: clock})
 	defer s.Close()
 	held, _, err := s.Claim(ctx, testKey, "one")
 	assert.NilError(t, err)
-	goBack := m.Backup()
+	restore := m.Backup()
 	assert.NilError(t, s.Finish(ctx, held, Record{State: Answered, Status: 200}))
-	goBack()
+	restore()
 	assert.Assert(t, !s.Recover())
 	assert.NilError(t, s.recovery.group.Wait())
 	rec, err := s.Get(ctx, testKey)
@@ -70,15 +70,15 @@
 }
 
 // TestRequestRunningDuringARestoreIsFinished restores a backup without the claim of a request.
-func TestCallThatRunsWhileTheTableGoesBackIsSettled(t *testing.T) {
+func TestRequestRunningDuringARestoreIsFinished(t *testing.T) {
 	ctx := context.Background()
 	m := platformtest.New()
 	s := newStore(m)
 	defer s.Close()
-	goBack := m.Backup()
+	restore := m.Backup()
 	held, _, err := s.Claim(ctx, testKey, "one")
 	assert.NilError(t, err)
-	goBack()
+	restore()
 	assert.NilError(t, s.Finish(ctx, held, Record{State: Answered, Status: 200}))
 	rec, err := s.Get(ctx, testKey)
 	assert.NilError(t, err)
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -54,7 +54,7 @@
 	assert.Equal(t, number, uint64(2))
 }
 
-func TestHolderThatWakesLateHasLostItsLease(t *testing.T) {
+func TestPausedHolderLosesItsLease(t *testing.T) {
 	m, clock := platformtest.New(), clockwork.NewFakeClock()
 	a := newLease(m, clock, "a")
 	assert.NilError(t, a.Step(ctx))
@@ -67,7 +67,7 @@
 	assert.Equal(t, number, uint64(2), "an expired lease gets a new number")
 }
 
-func TestLostAnswerOfTheFirstWriteIsFoundAgain(t *testing.T) {
+func TestLostResponseOfTheFirstWriteIsRecovered(t *testing.T) {
 	m, clock := platformtest.New(), clockwork.NewFakeClock()
 	a := newLease(m, clock, "a")
 	m.Fail = func(call int, write bool) platformtest.Failure {
@@ -145,7 +145,7 @@
 // TestLeaseLostByTheTableIsNotGrantedToAnother restores the table from a backup in which the lease
 // is missing, or belongs to the previous holder. The holder writes it again; the others wait, and
 // no number is assigned twice.
-func TestLeaseThatTheTableLostIsNotGivenToAnother(t *testing.T) {
+func TestLeaseLostByTheTableIsNotGrantedToAnother(t *testing.T) {
 	for _, before := range []bool{false, true} {
 		m, clock := platformtest.New(), clockwork.NewFakeClock()
 		a, b := newLease(m, clock, "a"), newLease(m, clock, "b")
@@ -153,7 +153,7 @@
 			assert.NilError(t, b.Step(ctx))
 			clock.Advance(ttl + flight)
 		}
-		goBack := m.Backup()
+		restore := m.Backup()
 		for range 3 {
 			assert.NilError(t, a.Step(ctx))
 			clock.Advance(ttl + flight)
@@ -161,7 +161,7 @@
 		assert.NilError(t, a.Step(ctx))
 		number, ok := a.Held()
 		assert.Assert(t, ok)
-		goBack()
+		restore()
 		assert.NilError(t, b.Step(ctx))
 		_, ok = b.Held()
 		assert.Assert(t, !ok, "the holder had no time to write it again")
--- a/order/order_test.go
+++ b/order/order_test.go
@@ -66,42 +66,42 @@
 	return e.order(o)
 }
 
-func wanted(version string) []config.Target {
+func declared(version string) []config.Target {
 	return []config.Target{{Name: "e", ModelVersion: version, TakesOrders: true}}
 }
 
-func TestOrdersAreGivenUntilTheStateIsWanted(t *testing.T) {
+func TestOrdersAreSentUntilTheStateIsAsDeclared(t *testing.T) {
 	e := &engine{version: "v1"}
 	g := newSender(platformtest.New(), clockwork.NewFakeClock(), "a", e)
-	assert.Equal(t, g.Reconcile(wanted("v2")), Result{}, "no orders without the lease")
+	assert.Equal(t, g.Reconcile(declared("v2")), Result{}, "no orders without the lease")
 	assert.NilError(t, g.lease.Step(context.Background()))
-	assert.Equal(t, g.Reconcile(wanted("v2")), Result{Sent: 1})
+	assert.Equal(t, g.Reconcile(declared("v2")), Result{Sent: 1})
 	assert.NilError(t, g.deliver(e))
-	assert.Equal(t, g.Reconcile(wanted("v2")), Result{})
+	assert.Equal(t, g.Reconcile(declared("v2")), Result{})
 	assert.Equal(t, g.Reconcile([]config.Target{{Name: "other", ModelVersion: "v9"}}), Result{})
 }
 
 // TestOrdersOfAnOldHolderAreUndone pauses a holder with an order in flight, lets another take
 // over, and delivers the old order at the worst time.
-func TestOldHoldersOrdersDoNotStand(t *testing.T) {
+func TestOrdersOfAnOldHolderAreUndone(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		m, clock := platformtest.New(), clockwork.NewFakeClock()
 		e := &engine{version: "v1", checksFence: checks}
 		a, b := newSender(m, clock, "a", e), newSender(m, clock, "b", e)
 		ctx := context.Background()
 		assert.NilError(t, a.lease.Step(ctx))
-		a.Reconcile(wanted("old"))
+		a.Reconcile(declared("old"))
 		for range 9 {
 			clock.Advance(time.Second)
 			assert.NilError(t, b.lease.Step(ctx))
 		}
-		assert.Equal(t, b.Reconcile(wanted("new")), Result{Sent: 1})
+		assert.Equal(t, b.Reconcile(declared("new")), Result{Sent: 1})
 		assert.NilError(t, b.deliver(e))
-		assert.Equal(t, a.Reconcile(wanted("old")), Result{}, "a holder whose lease expired during a pause sends no orders")
+		assert.Equal(t, a.Reconcile(declared("old")), Result{}, "a holder whose lease expired during a pause sends no orders")
 
 		err := a.deliver(e)
 		assert.Equal(t, errors.Is(err, ErrFenced), checks)
-		b.Reconcile(wanted("new"))
+		b.Reconcile(declared("new"))
 		assert.NilError(t, b.deliver(e))
 		assert.Equal(t, e.version, "new")
 	}
@@ -113,15 +113,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m, clock := platformtest.New(), clockwork.NewFakeClock()
 		e := &engine{version: "v0", checksFence: true}
-		givers := []*sender{newSender(m, clock, "a", e), newSender(m, clock, "b", e)}
+		senders := []*sender{newSender(m, clock, "a", e), newSender(m, clock, "b", e)}
 		want := "v0"
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			g := givers[rapid.IntRange(0, 1).Draw(t, "router")]
+			g := senders[rapid.IntRange(0, 1).Draw(t, "router")]
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
 				g.lease.Step(context.Background()) //nolint:errcheck // failures are part of the test
 			case 2:
-				g.Reconcile(wanted(want))
+				g.Reconcile(declared(want))
 			case 3:
 				g.deliver(e) //nolint:errcheck // so are refusals
 			case 4:
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -227,17 +227,17 @@
 
 // share returns the share of the requests that the new version gets now.
 func (s *Set) share(m *activeOrder) float64 {
-	part := s.options.Clock.Since(m.order.At).Seconds() / m.order.Duration.Seconds()
+	elapsed := s.options.Clock.Since(m.order.At).Seconds() / m.order.Duration.Seconds()
 	first := steps[0].share * s.options.ExposeShare
-	if part < 0 || m.sum(true).Requests < minRequests {
+	if elapsed < 0 || m.sum(true).Requests < minRequests {
 		return first
 	}
-	if part >= fullFrom {
+	if elapsed >= fullFrom {
 		return 1
 	}
 	share := first
 	for _, st := range steps {
-		if part >= st.from {
+		if elapsed >= st.from {
 			share = min(st.share*s.options.ExposeShare, 1)
 		}
 	}
@@ -298,8 +298,8 @@
 const minBaseline = 5
 
 // Counts returns this router's counts of all orders, including those received from routers that
-// with selects; nil selects none.
-func (s *Set) Counts(with func(from string) bool) []Counts {
+// include selects; nil selects none.
+func (s *Set) Counts(include func(from string) bool) []Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []Counts
@@ -308,7 +308,7 @@
 		c.Tallies = maps.Clone(m.own.Tallies)
 		c.OldRunning, c.State = m.running, m.state
 		for from, h := range m.received {
-			if with != nil && with(from) {
+			if include != nil && include(from) {
 				addTallies(c.Tallies, h.Tallies)
 				c.OldRunning += h.OldRunning
 			}
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -243,7 +243,7 @@
 
 // TestFewRequestsLeadToNoDecision has too few requests to evaluate: the version is neither
 // completed nor given more than the first share.
-func TestFewAnswersLeadToNoVerdict(t *testing.T) {
+func TestFewRequestsLeadToNoDecision(t *testing.T) {
 	s := newSimulated(1, 20)
 	s.run(50, func(int, float64, time.Duration) (bool, bool) { return false, false })
 	assert.Equal(t, s.state, Running)
@@ -252,7 +252,7 @@
 
 // TestFinalStatesAreKept has a router receive and find other states than the one it knows; only
 // the state in the store replaces a final one.
-func TestStatesNeverGoBack(t *testing.T) {
+func TestFinalStatesAreKept(t *testing.T) {
 	s := newSimulated(1, 1).sets[0]
 	counts := func(state State) Counts {
 		return Counts{Service: "s", Version: "v2", Revision: revision.Revision{Count: 5}, State: state}
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -181,9 +181,9 @@
 	case t.Revision.Before(known.Revision):
 		return Termination{}, false
 	case t.Unreadable:
-		held := *known
-		held.Unreadable, held.Revision = true, t.Revision
-		t = held
+		unreadable := *known
+		unreadable.Unreadable, unreadable.Revision = true, t.Revision
+		t = unreadable
 	case t.Started.Before(known.Started) && !t.Started.IsZero():
 		return Termination{}, false
 	}
@@ -254,8 +254,8 @@
 	if t == nil || t.Draining {
 		return false
 	}
-	fromBefore := r.restored[id] && at.OfEarlierEra(t.Revision)
-	if !t.Revision.Before(at) && !fromBefore {
+	beforeRestore := r.restored[id] && at.OfEarlierEra(t.Revision)
+	if !t.Revision.Before(at) && !beforeRestore {
 		return false
 	}
 	leaving := *t
--- a/roster/roster_test.go
+++ b/roster/roster_test.go
@@ -44,7 +44,7 @@
 	return left
 }
 
-func TestRemovedEntryIsGoneUnlessItComesBack(t *testing.T) {
+func TestRemovedEntryExpiresUnlessItReturns(t *testing.T) {
 	r, clock := newTestRoster()
 	assert.Assert(t, !removed(r, "a", 3))
 	assert.Assert(t, !removed(r, "b", 4))
@@ -56,7 +56,7 @@
 	assert.DeepEqual(t, ids(r), []string{"b"})
 }
 
-func TestEntryThatLapsedInAnOutageMayComeBack(t *testing.T) {
+func TestEntryThatExpiredInAnOutageMayReturn(t *testing.T) {
 	r, clock := newTestRoster()
 	r.MarkDisconnected()
 	r.MarkReconnected()
@@ -70,7 +70,7 @@
 	assert.DeepEqual(t, ids(r), []string{"a", "b"})
 }
 
-func TestEntryStillMissingAfterAnOutageIsGone(t *testing.T) {
+func TestEntryStillMissingAfterAnOutageExpires(t *testing.T) {
 	r, clock := newTestRoster()
 	r.MarkDisconnected()
 	clock.Advance(time.Minute)
@@ -92,7 +92,7 @@
 // TestEntryRemovedAfterAnOutageExpiresSoon guards against a router that keeps a target which
 // stopped after the end of an outage for the long timeout of entries that expired during it: a
 // router whose requests the store had refused kept such a target for two seconds.
-func TestEntryThatGoesAfterAnOutageIsGoneSoon(t *testing.T) {
+func TestEntryRemovedAfterAnOutageExpiresSoon(t *testing.T) {
 	r, clock := newTestRoster()
 	r.MarkDisconnected()
 	r.MarkReconnected()
@@ -103,7 +103,7 @@
 	assert.DeepEqual(t, expired(r), []Termination{{ID: "a", Incarnation: "a", Revision: at(3)}})
 }
 
-func TestDrainingEntryThatGoesIsGoneAtOnce(t *testing.T) {
+func TestDrainingEntryIsRemovedImmediately(t *testing.T) {
 	r, _ := newTestRoster()
 	r.Put(Target{ID: "a", Revision: at(3), Draining: true})
 	r.MarkDisconnected()
@@ -115,7 +115,7 @@
 // TestReportOfAnotherRouterHoldsUntilTheEntryChanges guards against reports that outlive their
 // cause: after all entries expired in an outage that was not noticed, routers continued to notify
 // each other that the targets were draining when they had returned.
-func TestOtherRoutersWordIsTakenUntilTheEntryChanges(t *testing.T) {
+func TestReportOfAnotherRouterHoldsUntilTheEntryChanges(t *testing.T) {
 	r, _ := newTestRoster()
 	assert.Assert(t, !r.MarkDraining("a", at(1)), "the entry is not older")
 	assert.Assert(t, r.MarkDraining("a", at(5)))
@@ -131,8 +131,8 @@
 	return Target{ID: id, Started: time.Unix(1_000_000+started, 0), Revision: at(version)}
 }
 
-// TestTargetStartsAgainUnderItsID has a target crash and restart before its entry expires.
-func TestTargetStartsAgainUnderItsID(t *testing.T) {
+// TestTargetRestartsUnderItsID has a target crash and restart before its entry expires.
+func TestTargetRestartsUnderItsID(t *testing.T) {
 	r, clock := newTestRoster()
 	first, second := run("c", 1, 5), run("c", 2, 9)
 	_, ended := r.Put(first)
@@ -151,7 +151,7 @@
 
 // TestLateEntryOfAnEarlierIncarnationIsIgnored has a write of a crashed incarnation take effect
 // after the next one wrote its own entry.
-func TestLateEntryOfAnEarlierRunIsIgnored(t *testing.T) {
+func TestLateEntryOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	for _, draining := range []bool{false, true} {
 		r, _ := newTestRoster()
 		r.Put(run("c", 2, 9))
@@ -166,7 +166,7 @@
 
 // TestReplaceEndsTheEarlierIncarnation has a router read the complete table after a target
 // restarted.
-func TestTableNamesTheNextRun(t *testing.T) {
+func TestReplaceEndsTheEarlierIncarnation(t *testing.T) {
 	r, _ := newTestRoster()
 	first := run("c", 1, 5)
 	r.Put(first)
@@ -177,7 +177,7 @@
 
 // TestUnreadableEntryIsNotUsed has an entry overwritten with an invalid one, seen as a single
 // change or in the complete table.
-func TestUnreadableEntryNamesNoTarget(t *testing.T) {
+func TestUnreadableEntryIsNotUsed(t *testing.T) {
 	odd := Target{ID: "a", Revision: at(5), Unreadable: true}
 	takes := map[string]func(*Roster){
 		"change": func(r *Roster) { r.Put(odd) },
@@ -204,7 +204,7 @@
 
 // TestRestoredTableDoesNotRevertTargets restores the table from a backup in which a draining
 // target is not draining, an ended one is present, and a new one is missing.
-func TestCopyOfTheTableTakesNothingBack(t *testing.T) {
+func TestRestoredTableDoesNotRevertTargets(t *testing.T) {
 	r, clock := newTestRoster()
 	r.Put(Target{ID: "gone", Revision: at(3)})
 	r.Put(Target{ID: "gone", Revision: at(4), Draining: true})
@@ -230,7 +230,7 @@
 
 // TestWithheldTargetIsReinstated has a running target whose entry expired in the outage before the
 // table was restored.
-func TestTargetThatACopyNamesForLongCountsAgain(t *testing.T) {
+func TestWithheldTargetIsReinstated(t *testing.T) {
 	r, clock := newTestRoster()
 	assert.Assert(t, !removed(r, "a", 3))
 	clock.Advance(renewalInterval)
@@ -245,7 +245,7 @@
 
 // TestReportFromBeforeTheRestoreCounts has other routers report a draining target: one that has
 // not seen the new era, and one that has.
-func TestWordFromBeforeTheCopyCounts(t *testing.T) {
+func TestReportFromBeforeTheRestoreCounts(t *testing.T) {
 	r, _ := newTestRoster()
 	r.Replace([]Target{{ID: "a", Revision: inEra(1, 1)}, {ID: "b", Revision: inEra(1, 2)}}, inEra(1, 2))
 	assert.Assert(t, r.MarkDraining("a", at(50)), "the backup lacks it")
--- a/route/regions.go
+++ b/route/regions.go
@@ -25,7 +25,7 @@
 // sorted.
 func (t *Table) UnknownRegions(known []string) []string {
 	var unknown []string
-	note := func(regions []string) {
+	collect := func(regions []string) {
 		for _, region := range regions {
 			if !slices.Contains(known, region) {
 				unknown = append(unknown, region)
@@ -33,10 +33,10 @@
 		}
 	}
 	for _, r := range t.Routes {
-		note(r.Regions)
+		collect(r.Regions)
 	}
 	for i := range t.Customers {
-		note(t.Customers[i].Regions)
+		collect(t.Customers[i].Regions)
 	}
 	slices.Sort(unknown)
 	return slices.Compact(unknown)
