--- a/claim/claim_test.go
+++ b/claim/claim_test.go
@@ -23,7 +23,7 @@
 	return New(Options{Table: m.Table(), Clock: clockwork.NewFakeClock()})
 }
 
-func TestDuplicateLearnsWhatBecameOfTheFirst(t *testing.T) {
+func TestDuplicateReturnsTheFirstRecord(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	ctx := context.Background()
 	m := platformtest.New()
@@ -45,7 +45,7 @@
 	assert.Equal(t, string(earlier.Body), "done")
 }
 
-func TestKeyOfACallThatDidNotRunCanBeUsedAgain(t *testing.T) {
+func TestKeyOfARequestThatDidNotRunCanBeReused(t *testing.T) {
 	ctx := context.Background()
 	s := newStore(platformtest.New())
 	defer s.Close()
@@ -57,7 +57,7 @@
 	assert.Assert(t, again != nil && earlier == nil)
 }
 
-func TestCustomersKeysDoNotMeet(t *testing.T) {
+func TestKeysOfCustomersAreSeparate(t *testing.T) {
 	ctx := context.Background()
 	s := newStore(platformtest.New())
 	defer s.Close()
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestLargeAnswerIsNotKept(t *testing.T) {
+func TestLargeBodyIsOmitted(t *testing.T) {
 	ctx := context.Background()
 	s := newStore(platformtest.New())
 	defer s.Close()
@@ -80,9 +80,8 @@
 	assert.Assert(t, rec.BodyOmitted && rec.Body == nil)
 }
 
-// TestFaultsAtEveryCall makes each kind of failure at each call to the table
-// in turn, and at each two calls, and checks that at most one of two claims is
-// held and that a claim which is not held leaves no doubt about the other.
+// TestFaultsAtEveryCall injects each kind of failure into each call to the table, and into each
+// pair of calls, and checks that at most one of two claims is held.
 func TestFaultsAtEveryCall(t *testing.T) {
 	ctx := context.Background()
 	faults := []platformtest.Failure{platformtest.Down, platformtest.LostRequest, platformtest.LostResponse}
@@ -121,8 +120,8 @@
 	earlier string
 }
 
-// claimModel is a register that only the first claim sets. A claim that ended
-// with an error may have set it or not.
+// claimModel is a register that only the first claim sets. A claim that ended with an error may or
+// may not have set it.
 var claimModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
@@ -183,7 +182,7 @@
 	})
 }
 
-func TestBatchesSaveWrites(t *testing.T) {
+func TestWritesAreBatched(t *testing.T) {
 	m := platformtest.New()
 	entered, release := make(chan struct{}), make(chan struct{})
 	table := m.Table()
--- a/claim/recover_test.go
+++ b/claim/recover_test.go
@@ -13,16 +13,16 @@
 	"zinccove.example/zinccove/platform/platformtest"
 )
 
-// TestClaimThatTheTableLostIsNotGivenTwice has the table come back from a copy without a
-// claim whose call runs. Another router must not claim the key, whether it knows of the new
-// era before it writes or learns of it by the answer.
-func TestClaimThatTheTableLostIsNotGivenTwice(t *testing.T) {
+// TestClaimLostByTheTableIsNotGrantedTwice restores the table from a backup without the claim of a
+// running request. Another router must not claim the key, whether it knows of the new era before
+// it writes or learns of it from the response.
+func TestClaimLostByTheTableIsNotGrantedTwice(t *testing.T) {
 	ctx := context.Background()
 	for _, knows := range []bool{true, false} {
 		m, clock := platformtest.New(), clockwork.NewFakeClock()
 		table := m.Table()
 		first, second := New(Options{Table: table, Clock: clock}), New(Options{Table: table, Clock: clock})
-		goBack := m.Backup()
+		restore := m.Backup()
 		held, _, err := first.Claim(ctx, testKey, "one")
 		assert.NilError(t, err)
 		assert.Assert(t, held != nil)
@@ -36,49 +36,49 @@
 				return table.Commit(ctx, txn)
 			})
 		}
-		goBack()
+		restore()
 		two, earlier, err := second.Claim(ctx, testKey, "two")
 		assert.Assert(t, errs.Is(err, platform.ErrUnavailable), "%v", err)
 		assert.Assert(t, two == nil && earlier == nil)
 		first.Recover()
-		assert.NilError(t, first.lost.group.Wait())
-		clock.Advance(againTime + time.Millisecond)
+		assert.NilError(t, first.recovery.group.Wait())
+		clock.Advance(recoveryTime + time.Millisecond)
 		two, earlier, err = second.Claim(ctx, testKey, "two")
 		assert.NilError(t, err)
-		assert.Assert(t, two == nil && earlier != nil, "the key is claimed again, router knows: %v", knows)
+		assert.Assert(t, two == nil && earlier != nil, "the key was claimed twice, router knows the era: %v", knows)
 		first.Close()
 		second.Close()
 	}
 }
 
-// TestAnswerThatTheTableLostIsWrittenAgain has the copy hold the claim, and not how it ended.
-func TestAnswerThatTheTableLostIsWrittenAgain(t *testing.T) {
+// TestRecordLostByTheTableIsRewritten restores a backup that has the claim, but not its outcome.
+func TestRecordLostByTheTableIsRewritten(t *testing.T) {
 	ctx := context.Background()
 	m, clock := platformtest.New(), clockwork.NewFakeClock()
 	s := New(Options{Table: m.Table(), Clock: clock})
 	defer s.Close()
 	held, _, err := s.Claim(ctx, testKey, "one")
 	assert.NilError(t, err)
-	goBack := m.Backup()
+	restore := m.Backup()
 	assert.NilError(t, s.Finish(ctx, held, Record{State: Answered, Status: 200}))
-	goBack()
+	restore()
 	assert.Assert(t, !s.Recover())
-	assert.NilError(t, s.lost.group.Wait())
+	assert.NilError(t, s.recovery.group.Wait())
 	rec, err := s.Get(ctx, testKey)
 	assert.NilError(t, err)
 	assert.Equal(t, rec.State, Answered)
 }
 
-// TestCallThatRunsWhileTheTableGoesBackIsSettled has the row of a claim gone when its call ends.
-func TestCallThatRunsWhileTheTableGoesBackIsSettled(t *testing.T) {
+// TestRequestRunningDuringARestoreIsFinished restores a backup without the claim of a request.
+func TestRequestRunningDuringARestoreIsFinished(t *testing.T) {
 	ctx := context.Background()
 	m := platformtest.New()
 	s := newStore(m)
 	defer s.Close()
-	goBack := m.Backup()
+	restore := m.Backup()
 	held, _, err := s.Claim(ctx, testKey, "one")
 	assert.NilError(t, err)
-	goBack()
+	restore()
 	assert.NilError(t, s.Finish(ctx, held, Record{State: Answered, Status: 200}))
 	rec, err := s.Get(ctx, testKey)
 	assert.NilError(t, err)
