--- a/share/share.go
+++ b/share/share.go
@@ -1,10 +1,10 @@
-// Package share splits the slots of a pool among the routers that want them.
+// Package share splits the slots of a pool among the routers that request them.
 //
 // Every router computes the split for itself from the same exchanged counters,
 // so no message is needed for it. Customers get slots in proportion to their
 // weights, none more than it can use; a customer whose level lags gets more
 // until it has caught up. The slots of a customer go to the routers where its
-// requests are. Routers that have seen different counters may compute splits
+// requests are. Routers that have received different counters may compute splits
 // whose sum exceeds the slots for one exchange period; the excess then waits
 // inside the targets.
 //
@@ -22,15 +22,15 @@
 	"slices"
 )
 
-// Input is what a split is computed from.
+// Input holds the inputs of a split.
 type Input struct {
 	// Slots is the number of requests that the pool's targets run at once.
 	Slots int
-	// Routers is the number of routers that want slots.
+	// Routers is the number of routers that request slots.
 	Routers   int
 	Customers []Customer
-	// CatchUpLag is the lag, in cost per unit of weight, that doubles the part of
-	// a customer; 0 gives lagging customers no more.
+	// CatchUpLag is the lag, in cost per unit of weight, that doubles the weight of a customer; 0
+	// disables the boost of lagging customers.
 	CatchUpLag float64
 }
 
@@ -41,7 +41,7 @@
 	Level float64
 	// Waiting customers have requests queued, so their lag counts.
 	Waiting bool
-	// Demand is the number of requests queued and running by router.
+	// Demand is the number of queued and running requests by router.
 	Demand []RouterDemand
 }
 
@@ -51,7 +51,7 @@
 	Requests int
 }
 
-// maxBoost bounds how much more than its weight a lagging customer gets.
+// maxBoost bounds the factor on the weight of a lagging customer.
 const maxBoost = 8
 
 func (c *Customer) requests() int {
@@ -62,8 +62,8 @@
 	return n
 }
 
-// Allocate returns the slots of each router and the slots that no router
-// wants. Their sum is in.Slots.
+// Allocate returns the slots of each router and the slots that no router requests. Their sum is
+// in.Slots.
 func Allocate(in Input) (slots []int, spare int) {
 	parts := fill(in)
 	exact := make([]float64, in.Routers)
@@ -80,8 +80,8 @@
 	return round(exact, granted), in.Slots - granted
 }
 
-// fill returns the slots of each customer: in proportion to weights, at most
-// the demand, until slots or demand run out.
+// fill returns the slots of each customer: in proportion to weights, at most the demand, until
+// either slots or demand are used up.
 func fill(in Input) []float64 {
 	parts := make([]float64, len(in.Customers))
 	weights := boosted(in)
@@ -102,12 +102,12 @@
 	return parts
 }
 
-// boosted returns the weights with the lag of waiting customers counted in.
+// boosted returns the weights, increased by the lag of waiting customers.
 func boosted(in Input) []float64 {
-	most := math.Inf(-1)
+	maxLevel := math.Inf(-1)
 	for i := range in.Customers {
 		if c := &in.Customers[i]; c.Waiting {
-			most = max(most, c.Level)
+			maxLevel = max(maxLevel, c.Level)
 		}
 	}
 	weights := make([]float64, len(in.Customers))
@@ -115,14 +115,14 @@
 		c := &in.Customers[i]
 		weights[i] = c.Weight
 		if c.Waiting && in.CatchUpLag > 0 {
-			weights[i] *= min(1+(most-c.Level)/in.CatchUpLag, maxBoost)
+			weights[i] *= min(1+(maxLevel-c.Level)/in.CatchUpLag, maxBoost)
 		}
 	}
 	return weights
 }
 
-// round turns exact parts into whole ones whose sum is total, by largest
-// remainder; ties go to the lower index.
+// round rounds exact parts to whole ones whose sum is total, by largest remainder; ties go to the
+// lower index.
 func round(exact []float64, total int) []int {
 	whole := make([]int, len(exact))
 	order := make([]int, len(exact))
@@ -145,13 +145,12 @@
 	DataCentre string
 }
 
-// Assign returns how many of its slots the router self takes at each target.
-// Data centres are those of the routers; want is the slots of each router, of
-// which the sum must not exceed the targets' slots. Routers take slots of
-// their own data centre first, one target after the other, so that every
-// router places alike and no slot is taken twice.
+// Assign returns how many of its slots the router self uses at each target. dataCentres are those
+// of the routers; want is the slots of each router, whose sum must not exceed the targets' slots.
+// Routers use slots of their own data centre first, in turn over its targets, so that every
+// router computes the same assignment and no slot is used twice.
 func Assign(targets []Target, dataCentres []string, want []int, self int) []int {
-	p := placement{free: make([]int, len(targets)), left: slices.Clone(want), own: make([]int, len(targets)), self: self}
+	p := assignment{free: make([]int, len(targets)), remaining: slices.Clone(want), own: make([]int, len(targets)), self: self}
 	for i := range targets {
 		p.free[i] = targets[i].Slots
 	}
@@ -175,18 +174,18 @@
 	return p.own
 }
 
-// placement is the state of Place.
-type placement struct {
-	free []int
-	left []int
-	own  []int
-	self int
+// assignment is the state of Assign.
+type assignment struct {
+	free      []int
+	remaining []int
+	own       []int
+	self      int
 }
 
-// take gives router r slots of the candidates in turn, going on at cursor.
-func (p *placement) take(r int, candidates []int, cursor *int) {
+// take gives router r slots of the candidates in turn, beginning at cursor.
+func (p *assignment) take(r int, candidates []int, cursor *int) {
 	full := 0
-	for p.left[r] > 0 && full < len(candidates) {
+	for p.remaining[r] > 0 && full < len(candidates) {
 		t := candidates[*cursor%len(candidates)]
 		*cursor++
 		if p.free[t] == 0 {
@@ -195,7 +194,7 @@
 		}
 		full = 0
 		p.free[t]--
-		p.left[r]--
+		p.remaining[r]--
 		if r == p.self {
 			p.own[t]++
 		}
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// at is a customer of weight w that waits, with requests at one router.
-func at(router, requests int, w, level float64) Customer {
+// customerAt returns a waiting customer of weight w, with requests at one router.
+func customerAt(router, requests int, w, level float64) Customer {
 	return Customer{Weight: w, Level: level, Waiting: true, Demand: []RouterDemand{{Router: router, Requests: requests}}}
 }
 
@@ -20,15 +20,15 @@
 		want  []int
 		spare int
 	}{
-		{"nobody", Input{Slots: 8, Routers: 2}, []int{0, 0}, 8},
-		{"little demand", Input{Slots: 8, Routers: 2, Customers: []Customer{at(0, 2, 1, 0)}}, []int{2, 0}, 6},
-		{"equal parts", Input{Slots: 8, Routers: 2, Customers: []Customer{at(0, 50, 1, 0), at(1, 50, 1, 0)}}, []int{4, 4}, 0},
-		{"weights", Input{Slots: 8, Routers: 2, Customers: []Customer{at(0, 50, 3, 0), at(1, 50, 1, 0)}}, []int{6, 2}, 0},
-		{"a flood takes no more", Input{Slots: 8, Routers: 2, Customers: []Customer{at(0, 5000, 1, 0), at(1, 50, 1, 0)}}, []int{4, 4}, 0},
-		{"unused part goes on", Input{Slots: 8, Routers: 2, Customers: []Customer{at(0, 50, 1, 0), at(1, 1, 1, 0)}}, []int{7, 1}, 0},
+		{"no customers", Input{Slots: 8, Routers: 2}, []int{0, 0}, 8},
+		{"little demand", Input{Slots: 8, Routers: 2, Customers: []Customer{customerAt(0, 2, 1, 0)}}, []int{2, 0}, 6},
+		{"equal parts", Input{Slots: 8, Routers: 2, Customers: []Customer{customerAt(0, 50, 1, 0), customerAt(1, 50, 1, 0)}}, []int{4, 4}, 0},
+		{"weights", Input{Slots: 8, Routers: 2, Customers: []Customer{customerAt(0, 50, 3, 0), customerAt(1, 50, 1, 0)}}, []int{6, 2}, 0},
+		{"a flood takes no more", Input{Slots: 8, Routers: 2, Customers: []Customer{customerAt(0, 5000, 1, 0), customerAt(1, 50, 1, 0)}}, []int{4, 4}, 0},
+		{"unused part goes to others", Input{Slots: 8, Routers: 2, Customers: []Customer{customerAt(0, 50, 1, 0), customerAt(1, 1, 1, 0)}}, []int{7, 1}, 0},
 		{"spread customer", Input{Slots: 8, Routers: 2, Customers: []Customer{
 			{Weight: 1, Demand: []RouterDemand{{0, 30}, {1, 10}}}}}, []int{6, 2}, 0},
-		{"lag", Input{Slots: 9, Routers: 2, CatchUpLag: 100, Customers: []Customer{at(0, 50, 1, 100), at(1, 50, 1, 0)}}, []int{3, 6}, 0},
+		{"lag", Input{Slots: 9, Routers: 2, CatchUpLag: 100, Customers: []Customer{customerAt(0, 50, 1, 100), customerAt(1, 50, 1, 0)}}, []int{3, 6}, 0},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestAllocateKeepsEverySlot checks on random demand that no slot is lost or
-// given twice and that slots are spare only when all demand is met.
+// TestAllocateKeepsEverySlot checks with random demand that no slot is lost or given twice and
+// that slots are spare only when all demand is met.
 func TestAllocateKeepsEverySlot(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		in := Input{
@@ -85,7 +85,7 @@
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
 			in := Input{Slots: 72, Routers: 9, CatchUpLag: 4000}
 			for i := range customers {
-				in.Customers = append(in.Customers, at(i%in.Routers, i%13+1, float64(i%3+1), float64(i)))
+				in.Customers = append(in.Customers, customerAt(i%in.Routers, i%13+1, float64(i%3+1), float64(i)))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestPlace(t *testing.T) {
+func TestAssign(t *testing.T) {
 	targets := []Target{{2, "x"}, {2, "x"}, {2, "y"}}
 	centres := []string{"x", "x", "y"}
 	tests := []struct {
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestPlaceTakesNoSlotTwice checks on random wishes that the routers together
-// take no more than each target's slots and get all they want.
-func TestPlaceTakesNoSlotTwice(t *testing.T) {
+// TestAssignUsesNoSlotTwice checks with random demand that the routers together use no more than
+// each target's slots and get all slots they request.
+func TestAssignUsesNoSlotTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var targets []Target
 		total := 0
