--- a/place/admit.go
+++ b/place/admit.go
@@ -8,27 +8,29 @@
 )
 
 const (
-	// admitShare is the part of the objective that an expected time may take: 0.1
-	// of the objectives in use, 30 to 80 ms, is what expected times are off by.
+	// admitShare is the share of the objective that the predicted time to the first event may
+	// take. The remaining 0.1 of the objectives in use, 30 to 80 ms, covers the usual prediction
+	// error.
 	admitShare = 0.9
-	// longShare is the part of the limit that may wait before a prompt that is
-	// too long to make it.
-	longShare = 0.3
-	// idleShare is the part of its objective that a prompt of a customer that is ahead may
-	// take where nothing waits: it delays those who come next little. Its shared parts have
-	// to be kept there, so that it pushes out no others'.
+	// longPromptShare is the share of the limit that the tokens ahead of a prompt may take if the
+	// prompt is too long to meet the limit at any target.
+	longPromptShare = 0.3
+	// idleShare is the share of its objective that a prompt may take at an idle target if its
+	// customer is ahead of the others: a prompt this short delays the next ones little. Its
+	// shared prefix must be cached there, so that it does not evict the prefixes of others.
 	idleShare = 0.35
-	// leastRetry and mostRetry bound the time after which a caller is asked back.
-	leastRetry = 100 * time.Millisecond
-	mostRetry  = 2 * time.Second
+	// minRetryAfter and maxRetryAfter bound the delay after which a refused caller may retry.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// admits reports whether a target is expected to make a limit. Where nothing
-// waits, prompts that take longer are admitted too: a refusal would leave the
-// target idle, and a router that expects too much would learn nothing any more.
-// Something waits also where all slots are taken, however little there is to read.
-// Only customers that are ahead of others who are refused leave that to those.
-// Prompts too long for any target are also admitted where little waits.
+// admits reports whether a target is predicted to meet a limit. An idle target also admits
+// prompts that are predicted to take longer: refusing them would leave the target idle, and a
+// router whose predictions are too high would get no samples to correct them. A target whose
+// slots are all taken does not count as idle, however few tokens are pending. An idle target
+// admits customers that are ahead of the others only if none of the others is starved and the
+// prompt is small. Prompts too long for any target are also admitted where few tokens are
+// pending.
 func (s *service) admits(d Decision, limit, objective time.Duration, st standing) bool {
 	switch {
 	case d.Predicted <= limit:
@@ -36,37 +38,37 @@
 	case d.Backlog == 0 && d.HasFreeSlot:
 		return !st.ahead || !st.contested && d.small(objective)
 	}
-	return s.speed.predict(0)+d.Wait <= time.Duration(float64(limit)*longShare)
+	return s.latency.predict(0)+d.Wait <= time.Duration(float64(limit)*longPromptShare)
 }
 
-// refuse refuses a request; its caller may come back when the target that was
-// chosen is expected to make the limit, after the least time at the earliest.
+// refuse refuses a request. Its caller may retry when the chosen target is predicted to meet the
+// limit, but not before the time least has passed.
 func (p *Placer) refuse(r Request, d Decision, asks Usage, limit, least time.Duration, now time.Time) Decision {
-	p.note(r.Customer, asked(r, asks), now)
+	p.recordUsage(r.Customer, firstAttemptUsage(r, asks), now)
 	d.Reason = Overloaded
-	d.RetryAfter = min(max(d.Predicted-limit, least), mostRetry)
+	d.RetryAfter = min(max(d.Predicted-limit, least), maxRetryAfter)
 	return d
 }
 
-// asked is what a request adds to what its customer asks for: nothing if it was
-// counted with an earlier attempt.
-func asked(r Request, asks Usage) Usage {
+// firstAttemptUsage returns what a request adds to the requested usage of its customer: nothing
+// if an earlier attempt already counted it.
+func firstAttemptUsage(r Request, asks Usage) Usage {
 	if len(r.Tried) > 0 {
 		return Usage{}
 	}
 	return asks
 }
 
-// costOf is the size of a request in tokens, for comparing customers.
+// costOf returns the size of a request in tokens, by which customers are compared.
 func costOf(c *message.Call) int {
-	made := c.HintTokens
-	if made == 0 {
-		made = c.MaxTokens
+	outputTokens := c.HintTokens
+	if outputTokens == 0 {
+		outputTokens = c.MaxTokens
 	}
-	return c.PromptTokens + route.MadeTokenCost*made
+	return c.PromptTokens + route.MadeTokenCost*outputTokens
 }
 
-// small reports whether a prompt costs others little at its target.
+// small reports whether a prompt delays other requests little at its target.
 func (d *Decision) small(objective time.Duration) bool {
 	return d.SharedTokens <= 0 && d.CopiedTokens == 0 && d.Predicted <= time.Duration(float64(objective)*idleShare)
 }
--- a/place/backoff_test.go
+++ b/place/backoff_test.go
@@ -10,19 +10,19 @@
 	"zinccove.example/zinccove/notice"
 )
 
-// moments are times at which something happens, the earliest first.
-type moments []moment
+// timedEvents are times at which something happens, the earliest first.
+type timedEvents []timedEvent
 
-type moment struct {
+type timedEvent struct {
 	at time.Time
 	do func()
 }
 
-func (m moments) Len() int           { return len(m) }
-func (m moments) Less(i, j int) bool { return m[i].at.Before(m[j].at) }
-func (m moments) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
-func (m *moments) Push(x any)        { *m = append(*m, x.(moment)) }
-func (m *moments) Pop() any {
+func (m timedEvents) Len() int           { return len(m) }
+func (m timedEvents) Less(i, j int) bool { return m[i].at.Before(m[j].at) }
+func (m timedEvents) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
+func (m *timedEvents) Push(x any)        { *m = append(*m, x.(timedEvent)) }
+func (m *timedEvents) Pop() any {
 	last := (*m)[len(*m)-1]
 	*m = (*m)[:len(*m)-1]
 	return last
@@ -50,13 +50,13 @@
 	p.SetTargets(list, table(t))
 	began := clock.Now()
 	var (
-		due               moments
+		due               timedEvents
 		away, served, all int
 		come              func(first time.Time)
 	)
-	at := func(when time.Time, do func()) { heap.Push(&due, moment{when, do}) }
+	at := func(when time.Time, do func()) { heap.Push(&due, timedEvent{when, do}) }
 	come = func(first time.Time) {
-		r := ask(call("some", 1000, 10), "c")
+		r := promptRequest(call("some", 1000, 10), "c")
 		r.Service = "plain"
 		d := p.Place(r)
 		now := clock.Now()
@@ -70,7 +70,7 @@
 			}
 			d.Run.ApplyNotice(notice.Notice{Backoff: backoff})
 			d.Run.End(Refused)
-			at(now.Add(leastRetry), func() { come(first) })
+			at(now.Add(minRetryAfter), func() { come(first) })
 			return
 		}
 		at(now.Add(hold), func() {
@@ -83,7 +83,7 @@
 		at(when, func() { come(when) })
 	}
 	for len(due) > 0 && due[0].at.Sub(began) < length {
-		m := heap.Pop(&due).(moment)
+		m := heap.Pop(&due).(timedEvent)
 		clock.Advance(m.at.Sub(clock.Now()))
 		m.do()
 	}
--- a/place/circuit.go
+++ b/place/circuit.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// circuit keeps requests away from a target that fails in a row, for a pause
-// that grows while it goes on failing.
+// circuit keeps requests away from a target after several failures in a row, for a pause that
+// grows while the failures continue.
 type circuit struct {
 	failures int
 	until    time.Time
@@ -11,13 +11,13 @@
 }
 
 const (
-	// openAfter is the number of failures in a row after which a target is left
-	// alone: one failure may be the request's own.
+	// openAfter is the number of failures in a row after which a target is avoided: a single
+	// failure may be caused by the request itself.
 	openAfter = 2
-	// firstPause is the first time a failing target is left alone; it doubles
-	// up to longestPause while it goes on failing.
-	firstPause   = 500 * time.Millisecond
-	longestPause = 4 * time.Second
+	// firstPause is the first time for which a failing target is avoided; the time doubles up to
+	// maxPause while the target keeps failing.
+	firstPause = 500 * time.Millisecond
+	maxPause   = 4 * time.Second
 )
 
 func (c *circuit) allows(now time.Time) bool {
@@ -27,14 +27,14 @@
 	return !now.Before(c.until)
 }
 
-func (c *circuit) note(r Result, now time.Time) {
+func (c *circuit) record(r Result, now time.Time) {
 	switch r {
 	case Answered, ErrorResponse, Refused:
 		*c = circuit{}
 	case Failed, Unreachable:
 		c.failures++
 		if c.failures >= openAfter {
-			c.pause = min(max(2*c.pause, firstPause), longestPause)
+			c.pause = min(max(2*c.pause, firstPause), maxPause)
 			c.until = now.Add(c.pause)
 		}
 	}
--- a/place/copy.go
+++ b/place/copy.go
@@ -2,79 +2,81 @@
 
 import "time"
 
-// holder is a home of a prompt, or a target that was one, and what it would have to read.
-type holder struct {
-	target *target
-	unread int
-	// leaves tells that it takes nothing new.
-	leaves bool
+// cacheHolder is a home or former home of a prompt, with the number of tokens of the prompt that
+// it would have to prefill.
+type cacheHolder struct {
+	target        *target
+	prefillTokens int
+	// sourceOnly marks a target that accepts no new requests and can only be copied from.
+	sourceOnly bool
 }
 
 const (
-	// leastCopied is the least number of tokens that are copied: reading fewer takes no
-	// longer than beginning a copy.
-	leastCopied = 1024
-	// copySetup is the time that a copy takes beside its tokens: finding the other
-	// engine and waiting for copies that go before it.
+	// minCopiedTokens is the minimum number of tokens to copy: prefilling fewer takes no longer
+	// than starting a copy.
+	minCopiedTokens = 1024
+	// copySetup is the fixed part of the time of a copy: finding the other engine and waiting for
+	// earlier copies.
 	copySetup = 10 * time.Millisecond
 )
 
-// holders returns what the homes of a prompt and those that were its homes keep of it.
+// cacheHolders returns the homes and former homes of a prompt with what they have cached of it.
 //
-// The load that it answers: homes leave, are full for a while or have just started, so
-// that prompts move, and their shared parts, three quarters of all tokens, are read once
-// more while another engine keeps them. Copying a token takes an eighth of the time that
-// reading it does.
-func (s *service) holders(homes, left []*target, pr *prompt, known told, now time.Time) []holder {
-	list := make([]holder, 0, len(homes)+len(left))
+// Homes drain, are full for a while or have just started, so prompts move to other targets.
+// Without copies their shared prefixes, three quarters of all tokens, are then prefilled again
+// while another engine still has them cached. Copying a token takes an eighth of the time of
+// prefilling it.
+func (s *service) cacheHolders(homes, left []*target, pr *prompt, known repliesByTarget, now time.Time) []cacheHolder {
+	list := make([]cacheHolder, 0, len(homes)+len(left))
 	for rank, t := range homes {
-		list = append(list, holder{target: t, unread: s.unread(t, pr, known, rank == 0, now)})
+		list = append(list, cacheHolder{target: t, prefillTokens: s.prefillTokens(t, pr, known, rank == 0, now)})
 	}
 	for _, t := range left {
-		list = append(list, holder{target: t, unread: s.unread(t, pr, known, true, now), leaves: true})
+		list = append(list, cacheHolder{target: t, prefillTokens: s.prefillTokens(t, pr, known, true, now), sourceOnly: true})
 	}
 	return list
 }
 
-// unread is the number of tokens of a prompt that a target has to read. All routers
-// prefer a prompt's first home, so only that one is likely to keep parts of which nothing
-// is known here.
-func (s *service) unread(t *target, pr *prompt, known told, first bool, now time.Time) int {
+// prefillTokens returns the number of tokens of a prompt that a target has to prefill. All
+// routers prefer a prompt's first home, so only that target is likely to have cached prefix parts
+// that this router knows nothing about.
+func (s *service) prefillTokens(t *target, pr *prompt, known repliesByTarget, first bool, now time.Time) int {
 	if a, ok := known[t.hash]; ok {
-		return min(a.PrefillTokens, pr.unread(&t.kept, s.engine.MemoryTokens, false))
+		return min(a.PrefillTokens, pr.prefillTokens(&t.cache, s.engine.MemoryTokens, false))
 	}
-	return pr.unread(&t.kept, s.engine.MemoryTokens, first && t.warm(now))
+	return pr.prefillTokens(&t.cache, s.engine.MemoryTokens, first && t.assumesCached(now))
 }
 
-// copiesFrom reports whether others may copy from a target that takes nothing new, as it
-// drains or its data centre is evacuated: it has to run and to be reached.
-func (p *Placer) copiesFrom(t *target, now time.Time) bool {
-	if t.Unreadable || t.replaced || p.cut[t.DataCentre] {
+// canCopyFrom reports whether other targets may copy from a target that accepts no new requests
+// because it is draining or its data centre is being evacuated: the target must still run and be
+// reachable.
+func (p *Placer) canCopyFrom(t *target, now time.Time) bool {
+	if t.Unreadable || t.replaced || p.cutOff[t.DataCentre] {
 		return false
 	}
-	return (t.drains() || p.evacuated[t.DataCentre]) && t.circuit.allows(now)
+	return (t.draining() || p.evacuated[t.DataCentre]) && t.circuit.allows(now)
 }
 
-// copyFrom has a candidate copy what it lacks from the holder that lacks least, where
+// planCopy sets a candidate to copy its missing tokens from the holder that misses the fewest, if
 // that saves time.
-func (s *service) copyFrom(holders []holder, c *candidate) {
+func (s *service) planCopy(holders []cacheHolder, c *candidate) {
 	if s.engine.CopyRate <= 0 {
 		return
 	}
-	fullest := holder{unread: c.unread}
+	source := cacheHolder{prefillTokens: c.prefillTokens}
 	for _, h := range holders {
-		if h.target != c.target && h.unread < fullest.unread {
-			fullest = h
+		if h.target != c.target && h.prefillTokens < source.prefillTokens {
+			source = h
 		}
 	}
-	saved := c.unread - fullest.unread
-	if saved >= leastCopied && s.copying(saved) < s.speed.reading(saved) {
-		c.unread, c.copied, c.from = fullest.unread, saved, fullest.target.Address
+	saved := c.prefillTokens - source.prefillTokens
+	if saved >= minCopiedTokens && s.copyTime(saved) < s.latency.prefillTime(saved) {
+		c.prefillTokens, c.copiedTokens, c.copyFrom = source.prefillTokens, saved, source.target.Address
 	}
 }
 
-// copying is the time that copying so many tokens takes.
-func (s *service) copying(tokens int) time.Duration {
+// copyTime returns the time to copy a number of tokens.
+func (s *service) copyTime(tokens int) time.Duration {
 	if tokens <= 0 {
 		return 0
 	}
--- a/place/copy_test.go
+++ b/place/copy_test.go
@@ -18,9 +18,9 @@
 	testCopyRate = 420_000
 )
 
-// copyingSite is a placer before engines that copy, and a prompt whose first home keeps
+// copyFixture is a placer before engines that copy, and a prompt whose first home keeps
 // its shared part.
-type copyingSite struct {
+type copyFixture struct {
 	*Placer
 	clock *clockwork.FakeClock
 	list  []*roster.Target
@@ -30,10 +30,10 @@
 	request       Request
 }
 
-func newCopyingSite(t *testing.T, rate float64) *copyingSite {
+func newCopyFixture(t *testing.T, rate float64) *copyFixture {
 	t.Helper()
 	p, clock := newTestPlacer(t)
-	s := &copyingSite{Placer: p, clock: clock, list: targets("model", 9), table: table(t), request: ask(call("part", copiedTokens, ownTokens), "c")}
+	s := &copyFixture{Placer: p, clock: clock, list: targets("model", 9), table: table(t), request: promptRequest(call("part", copiedTokens, ownTokens), "c")}
 	for i, x := range s.list {
 		x.DataCentre = []string{"x", "y", "z"}[i%3]
 	}
@@ -50,10 +50,10 @@
 }
 
 // update makes changes of the list known.
-func (s *copyingSite) update() { s.SetTargets(s.list, s.table) }
+func (s *copyFixture) update() { s.SetTargets(s.list, s.table) }
 
 // entry changes the entry of the first home.
-func (s *copyingSite) entry(change func(*roster.Target)) {
+func (s *copyFixture) entry(change func(*roster.Target)) {
 	for i, x := range s.list {
 		if x.ID == s.first.ID {
 			changed := *x
@@ -65,14 +65,14 @@
 	s.update()
 }
 
-// fill has so much wait at the first home that prompts move to the second.
-func (s *copyingSite) fill() { s.first.queue.add(300_000) }
+// overloadFirst has so much wait at the first home that prompts move to the second.
+func (s *copyFixture) overloadFirst() { s.first.queue.add(300_000) }
 
-// TestNextHomeCopiesWhatTheFullOneKeeps replays a home that is full for a while: prompts
+// TestNextHomeCopiesFromFullHome replays a home that is full for a while: prompts
 // move, and their shared parts were read once more.
-func TestNextHomeCopiesWhatTheFullOneKeeps(t *testing.T) {
-	s := newCopyingSite(t, testCopyRate)
-	s.fill()
+func TestNextHomeCopiesFromFullHome(t *testing.T) {
+	s := newCopyFixture(t, testCopyRate)
+	s.overloadFirst()
 	d := s.Place(s.request)
 	assert.Equal(t, d.Rank, 1)
 	assert.Equal(t, d.CopyFrom, s.first.Address)
@@ -86,25 +86,25 @@
 	assert.Equal(t, again.CopiedTokens, 0, "it keeps them now")
 }
 
-// TestCopyIsNeverFree compares the expected times of a home that copies and of one that
+// TestCopyTimeIsPredicted compares the expected times of a home that copies and of one that
 // keeps the parts.
-func TestCopyIsNeverFree(t *testing.T) {
-	s := newCopyingSite(t, testCopyRate)
+func TestCopyTimeIsPredicted(t *testing.T) {
+	s := newCopyFixture(t, testCopyRate)
 	kept := s.Place(s.request)
-	s.fill()
+	s.overloadFirst()
 	copies := s.Place(s.request)
 	least := copySetup + time.Duration(copiedTokens*int64(time.Second)/testCopyRate)
 	assert.Equal(t, copies.Predicted-kept.Predicted, least)
-	slow := newCopyingSite(t, 1000)
-	slow.fill()
+	slow := newCopyFixture(t, 1000)
+	slow.overloadFirst()
 	d := slow.Place(slow.request)
 	assert.Equal(t, d.CopiedTokens, 0, "copies that take longer than reading are not made")
 }
 
-// TestFirstEventsAfterCopiesTellOfReadingOnly has a copy take as long as expected.
-func TestFirstEventsAfterCopiesTellOfReadingOnly(t *testing.T) {
-	s := newCopyingSite(t, testCopyRate)
-	s.fill()
+// TestCopyTimeDoesNotCountAsSlowness has a copy take as long as expected.
+func TestCopyTimeDoesNotCountAsSlowness(t *testing.T) {
+	s := newCopyFixture(t, testCopyRate)
+	s.overloadFirst()
 	d := s.Place(s.request)
 	s.clock.Advance(d.Predicted)
 	d.Run.FirstEvent(true)
@@ -112,16 +112,16 @@
 	assert.Assert(t, factor > 0.95 && factor < 1.05, "%v", factor)
 }
 
-// TestHomesThatLeaveAreCopiedFrom replays planned departures: the next homes of their
+// TestDrainingHomesAreCopiedFrom replays planned departures: the next homes of their
 // prompts had all shared parts read again while the engines that kept them still ran.
-func TestHomesThatLeaveAreCopiedFrom(t *testing.T) {
-	leave := map[string]func(s *copyingSite){
-		"drains":       func(s *copyingSite) { s.entry(func(x *roster.Target) { x.Draining = true }) },
-		"is evacuated": func(s *copyingSite) { s.SetEvacuated(map[string]bool{s.first.DataCentre: true}) },
+func TestDrainingHomesAreCopiedFrom(t *testing.T) {
+	leave := map[string]func(s *copyFixture){
+		"drains":       func(s *copyFixture) { s.entry(func(x *roster.Target) { x.Draining = true }) },
+		"is evacuated": func(s *copyFixture) { s.SetEvacuated(map[string]bool{s.first.DataCentre: true}) },
 	}
 	for name, change := range leave {
 		t.Run(name, func(t *testing.T) {
-			s := newCopyingSite(t, testCopyRate)
+			s := newCopyFixture(t, testCopyRate)
 			change(s)
 			questions := s.Queries(s.request)
 			assert.Equal(t, questions[len(questions)-1].Target, s.first.hash)
@@ -133,32 +133,32 @@
 	}
 }
 
-// TestNothingIsCopiedFromAHomeThatCannotGiveIt has the home that kept the shared part be
+// TestUnsuitableHomesAreNotCopiedFrom has the home that kept the shared part be
 // of no use in every way.
-func TestNothingIsCopiedFromAHomeThatCannotGiveIt(t *testing.T) {
-	bad := map[string]func(s *copyingSite){
-		"ended": func(s *copyingSite) { s.list = without(s.list, s.first.ID); s.update() },
-		"started again": func(s *copyingSite) {
+func TestUnsuitableHomesAreNotCopiedFrom(t *testing.T) {
+	bad := map[string]func(s *copyFixture){
+		"ended": func(s *copyFixture) { s.list = without(s.list, s.first.ID); s.update() },
+		"started again": func(s *copyFixture) {
 			s.entry(func(x *roster.Target) { x.Started = time.Unix(1, 0) })
 			s.first.queue.add(1)
 		},
-		"replaced":   func(s *copyingSite) { s.first.replaced = true },
-		"unreadable": func(s *copyingSite) { s.entry(func(x *roster.Target) { x.Unreadable = true }) },
-		"fails and drains": func(s *copyingSite) {
+		"replaced":   func(s *copyFixture) { s.first.replaced = true },
+		"unreadable": func(s *copyFixture) { s.entry(func(x *roster.Target) { x.Unreadable = true }) },
+		"fails and drains": func(s *copyFixture) {
 			s.entry(func(x *roster.Target) { x.Draining = true })
 			for range openAfter {
-				s.first.circuit.note(Failed, s.clock.Now())
+				s.first.circuit.record(Failed, s.clock.Now())
 			}
 		},
-		"cut off": func(s *copyingSite) { s.cut[s.first.DataCentre] = true },
-		"has forgotten": func(s *copyingSite) {
-			s.first.kept.touch(nil, 500_000)
-			s.fill()
+		"cut off": func(s *copyFixture) { s.cutOff[s.first.DataCentre] = true },
+		"has forgotten": func(s *copyFixture) {
+			s.first.cache.touch(nil, 500_000)
+			s.overloadFirst()
 		},
 	}
 	for name, change := range bad {
 		t.Run(name, func(t *testing.T) {
-			s := newCopyingSite(t, testCopyRate)
+			s := newCopyFixture(t, testCopyRate)
 			change(s)
 			d := s.Place(s.request)
 			assert.Assert(t, d.Run != nil)
@@ -179,18 +179,18 @@
 	return rest
 }
 
-func TestEnginesThatDoNotCopyReadAgain(t *testing.T) {
-	s := newCopyingSite(t, 0)
-	s.fill()
+func TestEnginesWithoutCopyPrefillAgain(t *testing.T) {
+	s := newCopyFixture(t, 0)
+	s.overloadFirst()
 	d := s.Place(s.request)
 	assert.Equal(t, d.Rank, 1)
 	assert.Equal(t, d.PrefillTokens, copiedTokens+ownTokens)
 	assert.Equal(t, len(s.Queries(s.request)), maxHomes)
 }
 
-func TestShortPartsAreReadNotCopied(t *testing.T) {
-	s := newCopyingSite(t, testCopyRate)
-	s.request = ask(call("short", leastCopied-1, ownTokens), "c")
+func TestShortPartsAreNotCopied(t *testing.T) {
+	s := newCopyFixture(t, testCopyRate)
+	s.request = promptRequest(call("short", minCopiedTokens-1, ownTokens), "c")
 	run := s.Place(s.request).Run
 	run.End(Answered)
 	run.state.queue.add(60_000)
--- a/place/flood_test.go
+++ b/place/flood_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// crowd is the traffic of one customer.
-type crowd struct {
+// traffic is the traffic of one customer.
+type traffic struct {
 	customer string
 	// rate is in requests a second; router is where all of them arrive, everywhere
 	// if negative.
@@ -50,14 +50,14 @@
 }
 
 const (
-	// tellReadings and tellUses are how often routers tell each other of placed
+	// prefillsInterval and tellUses are how often routers tell each other of placed
 	// prompts and of customers' use.
-	tellReadings = 5 * time.Millisecond
-	tellUses     = 400 * time.Millisecond
+	prefillsInterval = 5 * time.Millisecond
+	usageInterval    = 400 * time.Millisecond
 )
 
 // run plays the crowds' traffic.
-func (r *routers) run(d time.Duration, crowds ...*crowd) {
+func (r *routers) run(d time.Duration, crowds ...*traffic) {
 	for ms := range d.Milliseconds() {
 		for _, c := range crowds {
 			if r.random.Float64() < c.rate/1000 {
@@ -67,18 +67,18 @@
 		for _, f := range r.fleets {
 			f.events()
 		}
-		r.tell(time.Duration(ms) * time.Millisecond)
+		r.exchange(time.Duration(ms) * time.Millisecond)
 		r.clock.Advance(time.Millisecond)
 	}
 }
 
-func (r *routers) place(c *crowd) {
+func (r *routers) place(c *traffic) {
 	router := c.router
 	if router < 0 {
 		router = r.random.IntN(len(r.fleets))
 	}
 	f := r.fleets[router]
-	q := ask(call(fmt.Sprint(r.random.IntN(40)), 4000, 500+r.random.IntN(4000)), c.customer)
+	q := promptRequest(call(fmt.Sprint(r.random.IntN(40)), 4000, 500+r.random.IntN(4000)), c.customer)
 	c.asked += costOf(q.Call)
 	d := f.placer.Place(q, r.answers(router, q)...)
 	if d.Run == nil {
@@ -103,8 +103,8 @@
 	return list
 }
 
-// newsFor is the part of a router's news that concerns another one.
-func (r *routers) newsFor(owner int, n Update) Update {
+// updateFor is the part of a router's news that concerns another one.
+func (r *routers) updateFor(owner int, n Update) Update {
 	part := Update{Loads: make(map[Hash]Load)}
 	for _, x := range n.Prefills {
 		if r.owner(x.Target) == owner {
@@ -124,38 +124,38 @@
 	return part
 }
 
-func (r *routers) tell(now time.Duration) {
-	if now%tellReadings != 0 {
+func (r *routers) exchange(now time.Duration) {
+	if now%prefillsInterval != 0 {
 		return
 	}
 	for i, p := range r.placers {
 		news := p.TakeUpdate()
 		var report Report
-		if now%tellUses == 0 {
+		if now%usageInterval == 0 {
 			report.Usage = p.Usage()
 		}
 		for j, other := range r.placers {
 			if i != j {
-				report.Update = r.newsFor(j, news)
+				report.Update = r.updateFor(j, news)
 				other.ApplyReport(fmt.Sprint(i), report)
 			}
 		}
 	}
 }
 
-// TestFloodsAtDifferentNumbersOfRoutersGetTheSame has two customers flood. One of
+// TestFloodsAreServedEquallyAtAnyNumberOfRouters has two customers flood. One of
 // them has connections to all routers and asks 3.6 times as often, the other has
 // all of its connections at one router. Both were far above what they were owed, so
 // both had the least limit, and what fitted it went to whoever asked more often: a
 // customer that asked for 2.2 million tokens in six seconds got 0.9 million, and
 // another one 2.5 million.
-func TestFloodsAtDifferentNumbersOfRoutersGetTheSame(t *testing.T) {
+func TestFloodsAreServedEquallyAtAnyNumberOfRouters(t *testing.T) {
 	for seed := range uint64(3) {
-		wide := &crowd{customer: "wide", rate: 260, router: -1}
-		narrow := &crowd{customer: "narrow", rate: 72, router: 3}
-		crowds := []*crowd{wide, narrow}
+		wide := &traffic{customer: "wide", rate: 260, router: -1}
+		narrow := &traffic{customer: "narrow", rate: 72, router: 3}
+		crowds := []*traffic{wide, narrow}
 		for i := range 8 {
-			crowds = append(crowds, &crowd{customer: fmt.Sprint("small", i), rate: 4, router: -1})
+			crowds = append(crowds, &traffic{customer: fmt.Sprint("small", i), rate: 4, router: -1})
 		}
 		r := newRouters(t, 9, seed)
 		r.run(5*time.Second, crowds...)
--- a/place/grade.go
+++ b/place/grade.go
@@ -5,47 +5,51 @@
 	"time"
 )
 
-// grade says how well a target may be used.
+// grade ranks how suitable a target is for a request.
 type grade int
 
 const (
-	// unusable targets leave, have ended, want a backoff, were tried before, are in a data
-	// centre that is evacuated or in a region in which the request may not run.
+	// unusable targets are draining, have ended, asked for a backoff, were tried before, or are
+	// in an evacuated data centre or in a region in which the request may not run.
 	unusable grade = iota
-	// doubtful targets seem cut off, fail much or are cold and bear little; they are
-	// used only if there are no others.
-	doubtful
+	// degraded targets seem to be cut off, fail often, or are warming up and can serve only a low
+	// rate. They are used only if there are no others.
+	degraded
 	good
 )
 
-// leaves reports whether a target must get nothing new.
-func (p *Placer) leaves(t *target) bool {
-	return t.drains() || t.Unreadable || t.replaced || p.evacuated[t.DataCentre]
+// closedToNew reports whether a target must get no new requests.
+func (p *Placer) closedToNew(t *target) bool {
+	return t.draining() || t.Unreadable || t.replaced || p.evacuated[t.DataCentre]
 }
 
-// drains reports whether the target is leaving, by its entry or by its own word.
-func (t *target) drains() bool { return t.Draining || t.noticed != nil && t.noticed.Leaving() }
+// draining reports whether the target is draining, according to its entry or its own
+// announcement.
+func (t *target) draining() bool { return t.Draining || t.announced != nil && t.announced.Leaving() }
 
-// backsOff reports whether the target asked this router for a backoff that goes on. It is
-// then not used even if there is no other: it would only turn requests away, and callers are
-// better told at once.
-func (t *target) backsOff(now time.Time) bool { return t.noticed != nil && t.noticed.BacksOff(now) }
+// inBackoff reports whether the target asked this router for a backoff that has not ended. The
+// target is then not used even if there is no other: it would refuse the requests, and an
+// immediate refusal by the router is better for callers.
+func (t *target) inBackoff(now time.Time) bool {
+	return t.announced != nil && t.announced.BacksOff(now)
+}
 
-// declines reports whether the target wants no more requests of this router for now.
-func (t *target) declines(now time.Time) bool { return t.backsOff(now) || t.recovers(now) }
+// unavailable reports whether this router must send the target no further requests for now.
+func (t *target) unavailable(now time.Time) bool { return t.inBackoff(now) || t.recovering(now) }
 
-// spares reports whether a target is cold and bears little. All routers together
-// may send it only a few requests a second; they send none while there are others.
-func (s *service) spares(t *target, now time.Time) bool {
-	return s.coldRate > 0 && now.Before(t.coldUntil)
+// warmingUp reports whether a target is warming up and can serve only a low rate. All routers
+// together may send it only a few requests a second, so they send none while there are other
+// targets.
+func (s *service) warmingUp(t *target, now time.Time) bool {
+	return s.warmUpRate > 0 && now.Before(t.warmUpUntil)
 }
 
 func (p *Placer) grade(s *service, t *target, r Request, now time.Time) grade {
 	switch {
-	case !r.allows(t.region) || !r.Versions.allow(t.Version) || p.leaves(t) || t.declines(now) || slices.Contains(r.Tried, t.incarnation):
+	case !r.allows(t.region) || !r.Versions.allow(t.Version) || p.closedToNew(t) || t.unavailable(now) || slices.Contains(r.Tried, t.incarnation):
 		return unusable
-	case !t.circuit.allows(now) || p.cut[t.DataCentre] || s.grey(t, now) || s.spares(t, now):
-		return doubtful
+	case !t.circuit.allows(now) || p.cutOff[t.DataCentre] || s.grayFailing(t, now) || s.warmingUp(t, now):
+		return degraded
 	}
 	return good
 }
--- a/place/health.go
+++ b/place/health.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// health is what this router has seen of a target lately: how often it failed.
+// health is the recent failure rate of a target as seen by this router.
 type health struct {
-	// failed is the recent part of answers that were failures, between 0 and 1.
-	failed float64
-	at     time.Time
+	// failureRate is the recent share of results that were failures as of at, between 0 and 1.
+	failureRate float64
+	at          time.Time
 }
 
 const (
-	// failureWeight is the weight of one answer in the recent part of failures.
+	// failureWeight is the weight of one result in the failure rate.
 	failureWeight = 0.12
-	// failureHalfLife is the time after which half of the failures are forgotten,
-	// so that a target that was left alone is tried again.
+	// failureHalfLife is the half-life of the failure rate, so that an avoided target is tried
+	// again.
 	failureHalfLife = 2 * time.Second
-	// greyPart is the part of failures from which on a target is left alone, if
-	// it also fails greyRatio times as often as the others of its service.
-	greyPart  = 0.3
-	greyRatio = 2.5
+	// grayFailureRate is the failure rate from which on a target is avoided if it also fails
+	// grayFailureRatio times as often as the other targets of its service.
+	grayFailureRate  = 0.3
+	grayFailureRatio = 2.5
 )
 
-// rate returns the recent part of failures.
+// rate returns the failure rate at a time.
 func (h *health) rate(now time.Time) float64 {
-	if h.failed == 0 {
+	if h.failureRate == 0 {
 		return 0
 	}
-	return h.failed * math.Exp2(-now.Sub(h.at).Seconds()/failureHalfLife.Seconds())
+	return h.failureRate * math.Exp2(-now.Sub(h.at).Seconds()/failureHalfLife.Seconds())
 }
 
-// note takes the result of one run.
-func (h *health) note(r Result, now time.Time) {
+// record adds the result of one run.
+func (h *health) record(r Result, now time.Time) {
 	var failure float64
 	switch r {
 	case Failed, Unreachable, ErrorResponse:
@@ -41,15 +41,15 @@
 	case Cancelled, NotSent, Refused, Replaced:
 		return
 	}
-	h.failed = h.rate(now)*(1-failureWeight) + failure*failureWeight
+	h.failureRate = h.rate(now)*(1-failureWeight) + failure*failureWeight
 	h.at = now
 }
 
-// grey reports whether a target fails so much more often than the others of
-// its service that it is better left alone although it answers.
-func (s *service) grey(t *target, now time.Time) bool {
+// grayFailing reports whether a target fails so much more often than the other targets of its
+// service that it should be avoided although it still responds.
+func (s *service) grayFailing(t *target, now time.Time) bool {
 	rate := t.health.rate(now)
-	if rate < greyPart || len(s.targets) < 2 {
+	if rate < grayFailureRate || len(s.targets) < 2 {
 		return false
 	}
 	var others float64
@@ -58,26 +58,26 @@
 			others += o.health.rate(now)
 		}
 	}
-	return rate > greyRatio*others/float64(len(s.targets)-1)
+	return rate > grayFailureRatio*others/float64(len(s.targets)-1)
 }
 
-// MinSilence is how long neither the routers nor the targets of a data centre
-// may at least be heard until it is taken as cut off: several heartbeats, and longer
-// than a busy engine is silent between two events.
+// MinSilence is the shortest time without data from the routers and targets of a data centre
+// after which the data centre may be considered cut off: several heartbeats, and longer than a
+// busy engine is silent between two events.
 const MinSilence = 450 * time.Millisecond
 
-// SetHeartbeats takes when a router of each other data centre was last heard, and
-// returns the data centres that seem to be cut off from here, as nothing of them was heard
-// for a time. Their targets are used only if there are no others.
-func (p *Placer) SetHeartbeats(beats map[string]time.Time, silence time.Duration) []string {
+// SetHeartbeats sets when the last heartbeat of a router of each other data centre was received.
+// It returns the data centres that seem to be cut off from here because nothing was received from
+// them for longer than silence. Their targets are used only if there are no others.
+func (p *Placer) SetHeartbeats(heartbeats map[string]time.Time, silence time.Duration) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	clear(p.cut)
+	clear(p.cutOff)
 	var cut []string
-	for dc, beat := range beats {
-		if now.Sub(beat) > silence && now.Sub(p.heard[dc]) > silence {
-			p.cut[dc] = true
+	for dc, heartbeat := range heartbeats {
+		if now.Sub(heartbeat) > silence && now.Sub(p.lastReceived[dc]) > silence {
+			p.cutOff[dc] = true
 			cut = append(cut, dc)
 		}
 	}
@@ -89,20 +89,21 @@
 	p := r.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.cut[r.Target.DataCentre]
+	return p.cutOff[r.Target.DataCentre]
 }
 
-// RecordContact notes that a router of a data centre was heard, other than by a heartbeat.
+// RecordContact records that data other than a heartbeat was received from a router of a data
+// centre.
 func (p *Placer) RecordContact(dataCentre string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard[dataCentre] = p.clock.Now()
+	p.lastReceived[dataCentre] = p.clock.Now()
 }
 
-// RecordReceived notes that bytes arrived from the target.
+// RecordReceived records that data was received from the target.
 func (r *Run) RecordReceived() {
 	p := r.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.heard[r.Target.DataCentre] = p.clock.Now()
+	p.lastReceived[r.Target.DataCentre] = p.clock.Now()
 }
--- a/place/idle_test.go
+++ b/place/idle_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestIdleEnginesTakeCustomersAheadUnlessOthersGoShort has one customer ahead of the even
+// TestIdleEnginesAdmitCustomersAheadUnlessOthersAreStarved has one customer ahead of the even
 // level, and another that goes short or does not.
-func TestIdleEnginesTakeCustomersAheadUnlessOthersGoShort(t *testing.T) {
+func TestIdleEnginesAdmitCustomersAheadUnlessOthersAreStarved(t *testing.T) {
 	for _, short := range []bool{false, true} {
 		p, _ := newTestPlacer(t)
 		uses := map[Hash]Usage{HashOf("ahead"): {Requested: 9_000_000, Served: 4_000_000}, HashOf("behind"): {Requested: 1_000_000, Served: 800_000}}
@@ -20,28 +20,28 @@
 			uses[HashOf("behind")] = Usage{Requested: 1_000_000, Served: 300_000}
 		}
 		p.ApplyReport("other", Report{Usage: uses})
-		p.Place(ask(call("part", 500, 10), "behind")).Run.End(Answered)
-		d := p.Place(ask(call("part", 500, 4000), "ahead"))
+		p.Place(promptRequest(call("part", 500, 10), "behind")).Run.End(Answered)
+		d := p.Place(promptRequest(call("part", 500, 4000), "ahead"))
 		assert.Equal(t, d.Run == nil, short)
-		assert.Assert(t, p.Place(ask(call("other part", 500, 4000), "ahead")).Run == nil, "its shared part would push out others'")
-		long := p.Place(ask(call("part", 500, 20_000), "ahead"))
+		assert.Assert(t, p.Place(promptRequest(call("other part", 500, 4000), "ahead")).Run == nil, "its shared part would push out others'")
+		long := p.Place(promptRequest(call("part", 500, 20_000), "ahead"))
 		assert.Assert(t, long.Run == nil, "long prompts delay who comes next: %v", long.Predicted)
-		assert.Assert(t, p.Place(ask(call("third part", 500, 4000), "behind")).Run != nil)
+		assert.Assert(t, p.Place(promptRequest(call("third part", 500, 4000), "behind")).Run != nil)
 	}
 }
 
-// TestReadingIsLearnedFromFewRequests has engines read nine times faster than their
+// TestPrefillSpeedIsLearnedFromFewRequests has engines read nine times faster than their
 // service is stated to produce, as in a fleet that has grown since.
-func TestReadingIsLearnedFromFewRequests(t *testing.T) {
+func TestPrefillSpeedIsLearnedFromFewRequests(t *testing.T) {
 	const actual = 0.02 // milliseconds a token
-	s := newSpeed()
-	s.guess(1000 / (9 * actual * readPart))
+	s := newLatencyEstimator()
+	s.setStatedSpeed(1000 / (9 * actual * prefillSpeedRatio))
 	for range 20 {
-		s.learn(5000, time.Duration((guessBase+5000*actual)*float64(time.Millisecond)))
+		s.learn(5000, time.Duration((defaultBase+5000*actual)*float64(time.Millisecond)))
 	}
 	assert.Assert(t, s.PerToken < 1.5*actual, "%v", s.PerToken)
-	slow := newSpeed()
-	slow.guess(1000 / (actual * readPart))
+	slow := newLatencyEstimator()
+	slow.setStatedSpeed(1000 / (actual * prefillSpeedRatio))
 	for range 20 {
 		slow.learn(5000, time.Second)
 	}
--- a/place/latency_test.go
+++ b/place/latency_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// teach has s learn requests of up to 30,000 tokens at a target that needs 50 ms
+// trainLatency has s learn requests of up to 30,000 tokens at a target that needs 50 ms
 // and 0.02 ms a token; late of each hundred take three seconds longer.
-func teach(s *speed, requests, late int) {
+func trainLatency(s *latencyEstimator, requests, late int) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range requests {
 		tokens := rnd.IntN(30_000)
@@ -23,9 +23,9 @@
 }
 
 func TestSpeedIsLearned(t *testing.T) {
-	s := newSpeed()
-	s.guess(30_000)
-	teach(s, 300, 0)
+	s := newLatencyEstimator()
+	s.setStatedSpeed(30_000)
+	trainLatency(s, 300, 0)
 	assert.Assert(t, s.predict(0) > 40*time.Millisecond && s.predict(0) < 60*time.Millisecond, "%v", s.predict(0))
 	assert.Assert(t, s.predict(10_000) > 240*time.Millisecond && s.predict(10_000) < 260*time.Millisecond, "%v", s.predict(10_000))
 }
@@ -33,11 +33,11 @@
 // TestLateFirstEventsDoNotMoveTheLineMuch has some requests take far longer than
 // what waits explains, as at targets that fail.
 func TestLateFirstEventsDoNotMoveTheLineMuch(t *testing.T) {
-	s := newSpeed()
-	s.guess(30_000)
-	teach(s, 300, 0)
-	teach(s, 300, 15)
+	s := newLatencyEstimator()
+	s.setStatedSpeed(30_000)
+	trainLatency(s, 300, 0)
+	trainLatency(s, 300, 15)
 	assert.Assert(t, s.predict(0) < 150*time.Millisecond, "%v", s.predict(0))
-	teach(s, 1000, 0)
+	trainLatency(s, 1000, 0)
 	assert.Assert(t, s.predict(0) < 60*time.Millisecond, "%v", s.predict(0))
 }
--- a/place/learning_test.go
+++ b/place/learning_test.go
@@ -13,10 +13,10 @@
 	"zinccove.example/zinccove/route"
 )
 
-// learners is a fleet that starts before idle engines, which read forty times faster than
+// learningFleet is a fleet that starts before idle engines, which read forty times faster than
 // their service is stated to produce: far more engines than the fleet needs. Each router sees
 // a request a second.
-type learners struct {
+type learningFleet struct {
 	clock   *clockwork.FakeClock
 	random  *rand.Rand
 	placers []*Placer
@@ -37,10 +37,10 @@
 	statedRatio  = 40
 )
 
-func newLearners(t *testing.T, routers, engines int, shares bool, seed uint64) *learners {
+func newLearningFleet(t *testing.T, routers, engines int, shares bool, seed uint64) *learningFleet {
 	t.Helper()
-	l := &learners{clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 9)), shares: shares}
-	stated := float64(engines) * 1000 / (statedRatio * float64(idlePerToken) / float64(time.Millisecond) * readPart)
+	l := &learningFleet{clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 9)), shares: shares}
+	stated := float64(engines) * 1000 / (statedRatio * float64(idlePerToken) / float64(time.Millisecond) * prefillSpeedRatio)
 	table, err := route.New(route.Spec{
 		Version: 1, Limits: route.Limits{TokensPerSecond: stated},
 		Services: []route.Service{{Name: "model", Engine: &route.Engine{Slots: 16, MemoryTokens: 500_000}}},
@@ -58,13 +58,13 @@
 	return l
 }
 
-func (l *learners) owner(target Hash) *Placer {
+func (l *learningFleet) owner(target Hash) *Placer {
 	return l.placers[uint64(target)%uint64(len(l.placers))]
 }
 
 // run plays the traffic of customers of which one asks for most, and returns the ratios of
 // expected to actual times of what is placed after a time, and the part that is refused.
-func (l *learners) run(d, after time.Duration) (ratios []float64, refused float64) {
+func (l *learningFleet) run(d, after time.Duration) (ratios []float64, refused float64) {
 	asked, refusals := 0, 0
 	for now := time.Duration(0); now < d; now += 10 * time.Millisecond {
 		l.clock.Advance(10 * time.Millisecond)
@@ -77,7 +77,7 @@
 			if l.random.Float64() < 0.5 {
 				customer = fmt.Sprint(l.random.IntN(20))
 			}
-			q := ask(call(fmt.Sprint(l.random.IntN(400)), 8000, 500+l.random.IntN(4000)), customer)
+			q := promptRequest(call(fmt.Sprint(l.random.IntN(400)), 8000, 500+l.random.IntN(4000)), customer)
 			d := p.Place(q, l.answers(p, q)...)
 			asked++
 			if d.Run == nil {
@@ -89,14 +89,14 @@
 			if now >= after {
 				ratios = append(ratios, float64(d.Predicted)/float64(took))
 			}
-			l.tell(i, p)
+			l.sendUpdate(i, p)
 		}
 	}
 	slices.Sort(ratios)
 	return ratios, float64(refusals) / float64(asked)
 }
 
-func (l *learners) events() {
+func (l *learningFleet) events() {
 	now := l.clock.Now()
 	left := l.due[:0]
 	for _, e := range l.due {
@@ -110,7 +110,7 @@
 	l.due = left
 }
 
-func (l *learners) answers(p *Placer, q Request) []Reply {
+func (l *learningFleet) answers(p *Placer, q Request) []Reply {
 	var list []Reply
 	for _, question := range p.Queries(q) {
 		owner := l.owner(question.Target)
@@ -127,8 +127,8 @@
 	return list
 }
 
-// tell tells the routers that answer for targets what a router did there.
-func (l *learners) tell(router int, p *Placer) {
+// sendUpdate tells the routers that answer for targets what a router did there.
+func (l *learningFleet) sendUpdate(router int, p *Placer) {
 	n := p.TakeUpdate()
 	parts := make(map[*Placer]*Update)
 	of := func(target Hash) *Update {
@@ -161,8 +161,8 @@
 func TestRoutersOfALargeFleetLearnFromEachOther(t *testing.T) {
 	const routers, engines = 60, 600
 	for seed := range uint64(3) {
-		alone, refusedAlone := newLearners(t, routers, engines, false, seed).run(10*time.Second, 8*time.Second)
-		together, refused := newLearners(t, routers, engines, true, seed).run(10*time.Second, 8*time.Second)
+		alone, refusedAlone := newLearningFleet(t, routers, engines, false, seed).run(10*time.Second, 8*time.Second)
+		together, refused := newLearningFleet(t, routers, engines, true, seed).run(10*time.Second, 8*time.Second)
 		nine := func(ratios []float64) float64 { return ratios[len(ratios)*9/10] }
 		t.Logf("seed %d: expected over actual time, nine of ten: alone %.1f, together %.1f; refused %.3f, %.3f", seed, nine(alone), nine(together), refusedAlone, refused)
 		assert.Assert(t, nine(together) < 2, "nine of ten are expected within twice the actual time, not %v", nine(together))
@@ -171,10 +171,10 @@
 	}
 }
 
-// TestLinesOfRoutersThatLearnedLessAreNotTaken has lines come that are older, empty or wrong.
-func TestLinesOfRoutersThatLearnedLessAreNotTaken(t *testing.T) {
-	s := newSpeed()
-	s.guess(1000)
+// TestModelsWithFewerSamplesAreNotAdopted has lines come that are older, empty or wrong.
+func TestModelsWithFewerSamplesAreNotAdopted(t *testing.T) {
+	s := newLatencyEstimator()
+	s.setStatedSpeed(1000)
 	s.learn(5000, time.Second)
 	own := s.LatencyModel
 	for _, l := range []LatencyModel{{}, {Base: 50, PerToken: 1, Samples: 1}, {Base: 50, Samples: 100}, {PerToken: 1, Samples: 100}} {
@@ -184,7 +184,7 @@
 	other := LatencyModel{Base: 60, PerToken: 0.02, Samples: 7}
 	s.adopt(other)
 	assert.Equal(t, s.LatencyModel, other)
-	s.Samples = minRequests
+	s.Samples = minSamples
 	s.adopt(LatencyModel{Base: 50, PerToken: 5, Samples: 1000})
 	assert.Equal(t, s.PerToken, 0.02, "it has learned enough itself")
 }
--- a/place/notices.go
+++ b/place/notices.go
@@ -7,96 +7,100 @@
 	"zinccove.example/zinccove/notice"
 )
 
-// noticed is what a run of a target said of itself. It is kept apart from the list of
-// targets, because the store may say otherwise for long, lose the target's entry and have it
-// again: what the target says of itself outranks all that, as long as it runs.
-type noticed struct {
+// announcement is what an incarnation of a target announced about itself. It is kept apart from
+// the list of targets, because the store may lag behind for long, or lose the target's entry and
+// get it back later: the announcement takes precedence for as long as the incarnation runs.
+type announcement struct {
 	notice.State
-	// taken counts the requests that the run began to answer since its last backoff began.
-	taken int
-	// listed is when the run last stood in the list of targets, or was heard of.
-	listed time.Time
+	// accepted is the number of requests that the incarnation began to respond to since its last
+	// backoff began.
+	accepted int
+	// listedAt is when the incarnation was last in the list of targets, or last announced.
+	listedAt time.Time
 }
 
 const (
-	// noticesFor is how long notices are kept of runs that are not in the list: longer than
-	// the store is away and targets serve on.
-	noticesFor = 10 * time.Minute
-	// mostNotices bounds the runs of which notices are kept, ten times the targets of a
-	// large fleet.
-	mostNotices = 4096
+	// announcementTTL is the time for which announcements are kept of incarnations that are not
+	// in the list: longer than an outage of the store during which targets continue to serve.
+	announcementTTL = 10 * time.Minute
+	// maxAnnouncements bounds the incarnations whose announcements are kept: ten times the
+	// targets of a large fleet.
+	maxAnnouncements = 4096
 )
 
-// ApplyNotice takes what the target said of itself in an answer, and returns what of it is news.
-func (r *Run) ApplyNotice(n notice.Notice) (news notice.Notice) {
+// ApplyNotice applies the notice that the target sent with a response, and returns the part of it
+// that changed something.
+func (r *Run) ApplyNotice(n notice.Notice) (changed notice.Notice) {
 	if n == (notice.Notice{}) {
 		return n
 	}
 	p := r.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.notice(r.state.hash, n)
+	return p.applyNotice(r.state.hash, n)
 }
 
-// MarkDraining takes another router's word that a run of a target said that it leaves, and
-// reports whether that is news. The run need not be known yet.
-func (p *Placer) MarkDraining(target Hash) (news bool) {
+// MarkDraining records the report of another router that an incarnation of a target announced
+// that it is draining, and reports whether this was not known before. The incarnation need not be
+// listed yet.
+func (p *Placer) MarkDraining(target Hash) (changed bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.notice(target, notice.Notice{Leaving: true}).Leaving
+	return p.applyNotice(target, notice.Notice{Leaving: true}).Leaving
 }
 
-func (p *Placer) notice(target Hash, n notice.Notice) (news notice.Notice) {
-	s := p.notices[target]
+func (p *Placer) applyNotice(target Hash, n notice.Notice) (changed notice.Notice) {
+	s := p.announcements[target]
 	if s == nil {
-		if len(p.notices) >= mostNotices {
+		if len(p.announcements) >= maxAnnouncements {
 			return notice.Notice{}
 		}
-		s = new(noticed)
-		p.notices[target] = s
+		s = new(announcement)
+		p.announcements[target] = s
 	}
 	now := p.clock.Now()
-	s.listed = now
+	s.listedAt = now
 	if t := p.byHash[target]; t != nil {
-		t.noticed = s
+		t.announced = s
 	}
-	news = s.Take(n, now)
-	if news.Backoff > 0 {
-		s.taken = 0
+	changed = s.Take(n, now)
+	if changed.Backoff > 0 {
+		s.accepted = 0
 	}
-	return news
+	return changed
 }
 
-// recoversFor is how long after a backoff a target is given work by and by.
-const recoversFor = 10 * time.Second
-
-// recovers reports whether the target has as much work as it is given soon after a backoff:
-// one request of this router, two more for each that it took, and none that would wait for a
-// slot. All callers that were refused meanwhile come at its end; those that are too many
-// for it would make it ask for the next backoff.
-func (t *target) recovers(now time.Time) bool {
-	s := t.noticed
-	if s == nil || s.Until().IsZero() || now.Sub(s.Until()) >= recoversFor {
+// recoveryPeriod is the time after a backoff during which the load of a target is increased
+// gradually.
+const recoveryPeriod = 10 * time.Second
+
+// recovering reports whether the target is soon after a backoff and already has its current limit
+// of work: one request of this router, two more for each request that it accepted since, and none
+// that would wait for a slot. All callers that were refused during the backoff return at its end;
+// too many of them at once would make the target ask for the next backoff.
+func (t *target) recovering(now time.Time) bool {
+	s := t.announced
+	if s == nil || s.Until().IsZero() || now.Sub(s.Until()) >= recoveryPeriod {
 		return false
 	}
 	full := t.Slots > 0 && t.outstanding() >= t.Slots
-	return full || t.own.Requests > 2*s.taken
+	return full || t.own.Requests > 2*s.accepted
 }
 
-// took notes that the target began to answer a request.
-func (t *target) took() {
-	if t.noticed != nil {
-		t.noticed.taken++
+// recordAccepted records that the target began to respond to a request.
+func (t *target) recordAccepted() {
+	if t.announced != nil {
+		t.announced.accepted++
 	}
 }
 
-// AnnouncedDraining returns the listed targets that said that they leave while their entries do
-// not say so.
+// AnnouncedDraining returns the listed targets that announced that they are draining while their
+// entries do not say so.
 func (p *Placer) AnnouncedDraining() []Hash {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var list []Hash
-	for h, s := range p.notices {
+	for h, s := range p.announcements {
 		if t := p.byHash[h]; t != nil && s.Leaving() && !t.Draining {
 			list = append(list, h)
 		}
@@ -104,8 +108,8 @@
 	return list
 }
 
-// Backoff is how long it is until the first target of a service takes requests again that
-// asked this router for a backoff; 0 if one takes them now, or none will.
+// Backoff returns the time until the first target of a service that asked this router for a
+// backoff accepts requests again. It is 0 if a target accepts them now, or if no target will.
 func (p *Placer) Backoff(service string) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,45 +121,46 @@
 	return left
 }
 
-// backoff also returns the target that takes requests first.
-func (p *Placer) backoff(s *service, r *Request, now time.Time) (left time.Duration, first *target) {
+// backoff also returns the target that accepts requests first.
+func (p *Placer) backoff(s *service, r *Request, now time.Time) (remaining time.Duration, first *target) {
 	for _, t := range s.targets {
 		switch {
-		case p.leaves(t) || !r.allows(t.region):
-		case !t.declines(now):
+		case p.closedToNew(t) || !r.allows(t.region):
+		case !t.unavailable(now):
 			return 0, nil
-		case first == nil || t.noticed.Until().Before(first.noticed.Until()):
+		case first == nil || t.announced.Until().Before(first.announced.Until()):
 			first = t
 		}
 	}
 	if first == nil {
 		return 0, nil
 	}
-	return max(first.noticed.Until().Sub(now), 0), first
+	return max(first.announced.Until().Sub(now), 0), first
 }
 
-// returnPart is the part of the time that is left of a backoff by which callers are asked
-// back later than its end, by chance. All that were refused in a backoff would otherwise
-// come at its end at once, and be turned away again.
-const returnPart = 1.0 / 3
+// retrySpread is the largest random addition to the retry delay of callers, as a share of the
+// remaining backoff. Otherwise all callers that were refused during a backoff would return at its
+// end at the same time and be refused again.
+const retrySpread = 1.0 / 3
 
-// none refuses a request for which there is no target. Where targets only want a backoff,
-// callers are told when the first one takes requests again.
-func (p *Placer) none(s *service, r *Request, now time.Time) Decision {
-	left, first := p.backoff(s, r, now)
+// refuseNoTarget refuses a request for which there is no target. If targets are only in backoff,
+// the retry delay lasts at least until the first of them accepts requests again.
+func (p *Placer) refuseNoTarget(s *service, r *Request, now time.Time) Decision {
+	remaining, first := p.backoff(s, r, now)
 	if first == nil {
 		return Decision{Reason: NoTarget, RetryAfter: noTargetRetry}
 	}
-	left = max(left, leastRetry)
-	spread := time.Duration(returnPart * rand.Float64() * float64(left))
-	return Decision{Reason: BackingOff, RetryAfter: left + spread, FirstAvailable: first.ID}
+	remaining = max(remaining, minRetryAfter)
+	spread := time.Duration(retrySpread * rand.Float64() * float64(remaining))
+	return Decision{Reason: BackingOff, RetryAfter: remaining + spread, FirstAvailable: first.ID}
 }
 
-// forgetNotices forgets what runs said that have not been listed for long.
-func (p *Placer) forgetNotices(now time.Time) {
-	for h, s := range p.notices {
-		if p.byHash[h] == nil && now.Sub(s.listed) >= noticesFor {
-			delete(p.notices, h)
+// expireAnnouncements removes the announcements of incarnations that have not been listed for
+// announcementTTL.
+func (p *Placer) expireAnnouncements(now time.Time) {
+	for h, s := range p.announcements {
+		if p.byHash[h] == nil && now.Sub(s.listedAt) >= announcementTTL {
+			delete(p.announcements, h)
 		}
 	}
 }
--- a/place/notices_test.go
+++ b/place/notices_test.go
@@ -11,11 +11,11 @@
 	"zinccove.example/zinccove/roster"
 )
 
-// placedAt counts where requests of many prompts are placed.
-func placedAt(p *Placer, service string) map[string]int {
+// placements counts where requests of many prompts are placed.
+func placements(p *Placer, service string) map[string]int {
 	used := make(map[string]int)
 	for i := range 60 {
-		r := ask(call(fmt.Sprint(i), 1000, 10), "c")
+		r := promptRequest(call(fmt.Sprint(i), 1000, 10), "c")
 		r.Service = service
 		d := p.Place(r)
 		if d.Run == nil {
@@ -31,7 +31,7 @@
 // runAt returns a run at some target of a service.
 func runAt(t *testing.T, p *Placer, service string) *Run {
 	t.Helper()
-	r := ask(call("some", 1000, 10), "c")
+	r := promptRequest(call("some", 1000, 10), "c")
 	r.Service = service
 	d := p.Place(r)
 	assert.Assert(t, d.Run != nil, d.Reason)
@@ -65,7 +65,7 @@
 			for _, l := range lists {
 				clock.Advance(time.Minute)
 				p.SetTargets(l.list, table(t))
-				assert.Equal(t, placedAt(p, service)[id], 0, l.name)
+				assert.Equal(t, placements(p, service)[id], 0, l.name)
 			}
 			assert.Equal(t, len(p.AnnouncedDraining()), 1)
 			for _, target := range all {
@@ -74,7 +74,7 @@
 				}
 			}
 			p.SetTargets(all, table(t))
-			assert.Assert(t, placedAt(p, service)[id] > 0, "another run is not used")
+			assert.Assert(t, placements(p, service)[id] > 0, "another run is not used")
 			assert.Equal(t, len(p.AnnouncedDraining()), 0)
 		})
 	}
@@ -88,20 +88,20 @@
 	assert.Assert(t, p.MarkDraining(HashOf("plain-1")))
 	assert.Assert(t, !p.MarkDraining(HashOf("plain-1")))
 	p.SetTargets(targets("plain", 3), table(t))
-	used := placedAt(p, "plain")
+	used := placements(p, "plain")
 	assert.Equal(t, used["plain-1"], 0)
 	assert.Assert(t, used["plain-0"] > 0 && used["plain-2"] > 0, used)
 }
 
 func TestNoticesOfRunsThatAreGoneAreForgotten(t *testing.T) {
 	p, clock := newTestPlacer(t)
-	for i := range mostNotices + 10 {
+	for i := range maxAnnouncements + 10 {
 		p.MarkDraining(HashOf(fmt.Sprint(i)))
 	}
-	assert.Equal(t, len(p.notices), mostNotices)
-	clock.Advance(noticesFor)
+	assert.Equal(t, len(p.announcements), maxAnnouncements)
+	clock.Advance(announcementTTL)
 	p.SetTargets(targets("plain", 3), table(t))
-	assert.Equal(t, len(p.notices), 0)
+	assert.Equal(t, len(p.announcements), 0)
 }
 
 // TestLastTargetThatLeavesIsNotUsed holds that callers are told at once.
@@ -110,7 +110,7 @@
 	for _, target := range targets("plain", 3) {
 		p.MarkDraining(HashOf(target.Incarnation()))
 	}
-	assert.Equal(t, placedAt(p, "plain")[string(NoTarget)], 60)
+	assert.Equal(t, placements(p, "plain")[string(NoTarget)], 60)
 }
 
 // TestTargetThatWantsABackoffGetsNothingUntilItsEnd holds it at the moments around the end,
@@ -127,11 +127,11 @@
 			run.End(Refused)
 			clock.Advance(backoff - time.Millisecond)
 			p.SetTargets(append(targets("model", 9), targets("plain", 3)...), table(t))
-			used := placedAt(p, service)
+			used := placements(p, service)
 			assert.Equal(t, used[id], 0)
 			assert.Equal(t, used[string(BackingOff)], 0)
 			clock.Advance(time.Millisecond)
-			assert.Assert(t, placedAt(p, service)[id] > 0, "not used after the backoff")
+			assert.Assert(t, placements(p, service)[id] > 0, "not used after the backoff")
 		})
 	}
 }
@@ -141,9 +141,9 @@
 func TestCallersAreAskedBackWhenTheFirstTargetTakesRequests(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	for i, backoff := range []time.Duration{4 * time.Second, 2 * time.Second, time.Second} {
-		p.notice(HashOf(fmt.Sprint("plain-", i)), notice.Notice{Backoff: backoff, Leaving: i == 2})
+		p.applyNotice(HashOf(fmt.Sprint("plain-", i)), notice.Notice{Backoff: backoff, Leaving: i == 2})
 	}
-	r := ask(call("some", 1000, 10), "c")
+	r := promptRequest(call("some", 1000, 10), "c")
 	r.Service = "plain"
 	clock.Advance(500 * time.Millisecond)
 	told := make(map[time.Duration]bool)
@@ -175,7 +175,7 @@
 	run.ApplyNotice(notice.Notice{Backoff: time.Second})
 	run.End(Refused)
 	clock.Advance(time.Second)
-	r := ask(call("some", 1000, 10), "c")
+	r := promptRequest(call("some", 1000, 10), "c")
 	var running []*Run
 	for _, most := range []int{1, 3, 7, 15} {
 		for range 20 {
@@ -183,7 +183,7 @@
 				running = append(running, d.Run)
 			} else {
 				assert.Equal(t, d.Reason, BackingOff)
-				assert.Assert(t, d.RetryAfter >= leastRetry && d.RetryAfter < 2*leastRetry, d.RetryAfter)
+				assert.Assert(t, d.RetryAfter >= minRetryAfter && d.RetryAfter < 2*minRetryAfter, d.RetryAfter)
 			}
 		}
 		assert.Equal(t, len(running), most)
@@ -192,7 +192,7 @@
 			run.FirstEvent(true)
 		}
 	}
-	clock.Advance(recoversFor)
+	clock.Advance(recoveryPeriod)
 	assert.Assert(t, p.Place(r).Run != nil)
 }
 
--- a/place/peers.go
+++ b/place/peers.go
@@ -6,56 +6,56 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash names a target, a part of a prompt or a customer in messages between routers. Of ten
-// thousand names in 32 bits two would be the same in one of a hundred fleets.
+// Hash identifies a target, a prefix part or a customer in messages between routers. With 32
+// bits, two of ten thousand names would collide in about one of a hundred fleets.
 type Hash uint64
 
 // HashOf returns the hash of an id or name.
 func HashOf(name string) Hash { return Hash(xxhash.Sum64String(name)) }
 
-// Report is what another router announces.
+// Report is what another router reports.
 type Report struct {
-	// Usage is the use of the router by customers; nil leaves the last one.
+	// Usage is the usage of the router by customer; nil leaves the last one in force.
 	Usage map[Hash]Usage
-	// Update is what it did at targets for which this router answers.
+	// Update holds what the router did at targets that this router owns.
 	Update Update
 }
 
-// report is what is known of another router.
-type report struct {
+// peerReport is the state reported by another router.
+type peerReport struct {
 	uses  map[Hash]Usage
-	loads map[Hash]loadAt
+	loads map[Hash]timedLoad
 	at    time.Time
-	// usesAt is when the uses were told.
+	// usesAt is when the usage was received.
 	usesAt time.Time
 }
 
-// loadAt is a load as told at a time.
-type loadAt struct {
+// timedLoad is a load with the time at which it was received.
+type timedLoad struct {
 	Load
 	at time.Time
 }
 
-// ApplyReport takes a report of another router.
+// ApplyReport applies a report of another router.
 func (p *Placer) ApplyReport(router string, r Report) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.peers[router]
 	if known == nil {
-		known = &report{loads: make(map[Hash]loadAt)}
+		known = &peerReport{loads: make(map[Hash]timedLoad)}
 		p.peers[router] = known
 	}
 	now := p.clock.Now()
 	known.at = now
 	if r.Usage != nil {
-		p.othersUses.remove(known.uses)
+		p.othersUsage.remove(known.uses)
 		known.uses, known.usesAt = r.Usage, now
-		p.othersUses.add(known.uses)
+		p.othersUsage.add(known.uses)
 	}
-	p.hear(HashOf(router), r.Update, known, now)
+	p.applyUpdate(HashOf(router), r.Update, known, now)
 }
 
-// RemovePeer drops what is known of a router that is not reachable.
+// RemovePeer removes the state of a router that is unreachable.
 func (p *Placer) RemovePeer(router string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,16 +63,17 @@
 	if known == nil {
 		return
 	}
-	p.othersUses.remove(known.uses)
+	p.othersUsage.remove(known.uses)
 	for h, l := range known.loads {
-		p.count(h, -l.Requests)
+		p.addOthersLoad(h, -l.Requests)
 	}
 	delete(p.peers, router)
 }
 
-// oldestReport is the age of the oldest report of another router.
-func (p *Placer) oldestReport(now time.Time) time.Duration {
-	if p.oldest.at.IsZero() || now.Sub(p.oldest.at) >= sharesFor {
+// oldestReportAge returns the age of the oldest report among the last reports of the other
+// routers.
+func (p *Placer) oldestReportAge(now time.Time) time.Duration {
+	if p.oldest.at.IsZero() || now.Sub(p.oldest.at) >= sharesTTL {
 		p.oldest.at, p.oldest.made = now, now
 		for _, r := range p.peers {
 			if r.at.Before(p.oldest.made) {
@@ -83,5 +84,5 @@
 	return now.Sub(p.oldest.made)
 }
 
-// oldest is when the oldest report was made, as found at a time.
-type oldest struct{ at, made time.Time }
+// oldestReport is when the oldest report was received, as determined at the time at.
+type oldestReport struct{ at, made time.Time }
--- a/place/place.go
+++ b/place/place.go
@@ -1,27 +1,27 @@
-// Package place chooses the target of each request and says when a request is
+// Package place chooses the target of each request and decides when a request is
 // better refused.
 //
-// Engines keep what they read of prompts. A prompt that shares its first parts
-// with others is therefore sent to its home, the target that rendezvous hashing
-// gives for the last shared part, so that all routers agree without a message.
-// Load comes second: the tokens that wait to be read at a target predict the
-// time to the first event. A router counts what it and the others sent there,
-// less what the target must have read since (queue.go), and learns how long that
-// takes (speed.go, slowness.go). When the home cannot make the objective, the next
-// homes are asked, where the shared parts may have to be read again; when none can,
-// the request is refused with the time after which the home is expected to have
-// room (admit.go). Customers above their share have less of the objective (use.go).
-// A home with free slots at which no tokens wait takes a request whatever is
-// expected, so that a router that expects too long times learns better.
+// Engines cache the tokens of prompts that they prefilled. A prompt that shares its
+// first parts with others is therefore sent to its home, the target that rendezvous
+// hashing selects for the last prefix part, so that all routers agree without a message.
+// Load comes second: the tokens pending at a target predict the time to the first event.
+// A router counts what it and the other routers sent there, less what the target must
+// have prefilled since (queue.go), and learns how long that takes (latency.go,
+// slowness.go). If the home cannot meet the objective, the next homes are considered,
+// where the prefix may have to be prefilled again; if none can, the request is refused
+// with the time after which the home is expected to have capacity (admit.go). Customers
+// above their share get a part of the objective only (shares.go). A home with free slots
+// and no pending tokens accepts a request whatever the prediction, so that a router whose
+// predictions are too high can correct them.
 //
-// A router that starts into a fleet that runs does not know what the targets
-// keep. For a short time it takes it that homes keep what it has never seen.
+// A router that joins a running fleet does not know what the targets have cached. For a
+// short time it assumes that homes have cached the parts that it has never seen.
 //
-// Engines that can take parts of a prompt from another engine do so where that is faster
-// than reading them: the target is told which one keeps them (copy.go).
+// Engines that can copy parts of a prompt from another engine do so where that is faster
+// than prefilling them: the request names the target that has them cached (copy.go).
 //
-// Plain services take the target with the fewest outstanding requests, or refuse where
-// an answer is not expected within the objective (plain.go).
+// A request to a plain service goes to the target with the fewest outstanding requests, or
+// is refused if a response is not expected within the objective (plain.go).
 //
 // The package has no I/O.
 //
@@ -33,7 +33,7 @@
 //	if d.Run == nil {
 //		// refused: d.Reason, d.RetryAfter
 //	}
-//	d.Run.FirstEvent()
+//	d.Run.FirstEvent(true)
 //	d.Run.End(place.Answered)
 package place
 
@@ -51,35 +51,34 @@
 // Options configure a placer.
 type Options struct {
 	Clock clockwork.Clock
-	// AssumeCached tells that the fleet ran before this router started, so that the
-	// targets that it finds keep parts of prompts of which it knows nothing.
+	// AssumeCached is set if the fleet ran before this router started, so that the targets that
+	// it finds have cached prefix parts that it knows nothing about.
 	AssumeCached bool
-	// Regions are those of the data centres by name; data centres that are missing are in
-	// none.
+	// Regions maps data centres to their regions; data centres that are missing have no region.
 	Regions map[string]string
 }
 
-// Request is what the choice depends on.
+// Request holds the inputs of a placement.
 type Request struct {
 	Service   string
 	Customer  string
 	Objective time.Duration
-	// Call is what the caller said.
+	// Call is the caller's request.
 	Call *message.Call
-	// Tried are the incarnations of targets that the request was sent to before.
+	// Tried are the incarnations of targets to which the request was sent before.
 	Tried []string
 	// Regions are those in which the request may run; nil allows all.
 	Regions []string
-	// Versions are those of targets at which it may run.
+	// Versions restricts the versions of the targets at which the request may run.
 	Versions Versions
 }
 
-// Versions bound the versions of targets while a service moves from one to another.
+// Versions restricts the versions of targets during the rollout of a service.
 type Versions struct {
-	// Only is the version that a request is to go to, Not the one that it must not. "" bounds
-	// nothing.
+	// Only is the required version, Not the excluded one; "" restricts nothing.
 	Only, Not string
-	// Strict tells that nothing else will do. Else a bound that no target fulfils is lifted.
+	// Strict makes the restriction absolute. Otherwise a restriction that no target meets is
+	// lifted.
 	Strict bool
 }
 
@@ -92,18 +91,18 @@
 	return r.Regions == nil || region != "" && slices.Contains(r.Regions, region)
 }
 
-// Reason says why a request was refused.
+// Reason is the reason why a request was refused.
 type Reason string
 
 // The reasons of refusals.
 const (
-	// NoTarget: no target of the service takes requests.
+	// NoTarget: no target of the service accepts requests.
 	NoTarget Reason = "no_target"
-	// BackingOff: all targets that do not leave asked this router for a backoff.
+	// BackingOff: all targets that are not draining asked this router for a backoff.
 	BackingOff Reason = "targets_back_off"
 	// NotAllowed: no target of the service is in a region in which the request may run.
 	NotAllowed Reason = "no_target_in_allowed_regions"
-	// Overloaded: no target can make the objective.
+	// Overloaded: no target is predicted to meet the objective.
 	Overloaded Reason = "overloaded"
 )
 
@@ -114,38 +113,37 @@
 	Reason     Reason
 	RetryAfter time.Duration
 
-	// FirstAvailable is the id of the target that takes requests first when all want a backoff.
+	// FirstAvailable is the id of the target that accepts requests first when all are in backoff.
 	FirstAvailable string
-	// Rank is the place of the target in the order of homes, 0 for the first.
+	// Rank is the position of the target in the order of homes, 0 for the first.
 	Rank int
-	// Share is the part of the usual limit that the customer was given, Above tells
-	// that it has more than it is owed.
+	// Share is the share of the usual limit that the customer got. AboveShare is set if the
+	// customer has more than it is owed.
 	Share      float64
 	AboveShare bool
-	// Backlog is the number of tokens that wait to be read at the target, PrefillTokens
-	// what the request adds to it.
+	// Backlog is the number of tokens pending at the target, PrefillTokens the number of tokens
+	// that the request adds to it.
 	Backlog       int
 	PrefillTokens int
-	// SharedTokens is the part of PrefillTokens that other prompts share.
+	// SharedTokens is the part of PrefillTokens that belongs to the shared prefix.
 	SharedTokens int
-	// CopiedTokens is the number of tokens that the target copies from the one at CopyFrom in
-	// place of reading them.
+	// CopiedTokens is the number of tokens that the target copies from the one at CopyFrom
+	// instead of prefilling them.
 	CopiedTokens int
 	CopyFrom     netip.AddrPort
-	// Outstanding is the number of requests at the target, HasFreeSlot tells that it has a free
-	// slot.
+	// Outstanding is the number of requests at the target, HasFreeSlot reports whether it has a
+	// free slot.
 	Outstanding int
 	HasFreeSlot bool
-	// Wait is the expected time until the target begins to read the prompt,
-	// Predicted that to the first event. Slowness is the part in both of what this
-	// target takes longer than others.
+	// Wait is the predicted time until the target begins to prefill the prompt, Predicted the
+	// predicted time to the first event. Slowness is the factor in both by which this target
+	// takes longer than others.
 	Wait      time.Duration
 	Predicted time.Duration
 	Slowness  float64
-	// Replies is the number of targets of which the router that answers for them told
-	// how things are.
+	// Replies is the number of targets whose owners replied to queries for the request.
 	Replies int
-	// ReportAge is the age of the oldest report of another router that was counted.
+	// ReportAge is the age of the oldest report of another router that was used.
 	ReportAge time.Duration
 }
 
@@ -158,66 +156,66 @@
 	services map[string]*service
 	targets  map[string]*target
 	byHash   map[Hash]*target
-	peers    map[string]*report
-	uses     map[Hash]*ring
-	// othersUses are the sums over the reports of all peers, kept so that a comparison of
+	peers    map[string]*peerReport
+	usage    map[Hash]*ring
+	// othersUsage sums up the reports of all peers. It is kept up to date so that a comparison of
 	// customers need not sum them up.
-	othersUses useSums
-	// totals are the uses of the whole fleet; nil if nobody sums them up.
+	othersUsage useSums
+	// totals is the usage of the whole fleet; nil if no router sums it up.
 	totals *Totals
-	oldest oldest
+	oldest oldestReport
 	shares shares
-	// news is what others are to be told, changed are the targets at which the requests
-	// of this router changed.
-	news    Update
+	// update holds the entries for the next update, changed the targets at which the requests of
+	// this router changed.
+	update  Update
 	changed map[Hash]*target
-	// busy are the targets with requests of this router.
+	// busy holds the targets with requests of this router.
 	busy map[Hash]*target
-	// numbered is the number of readings so far.
-	numbered uint32
-	// owned are the targets for which this router answers.
+	// lastPrefillNumber is the number of the last prefill.
+	lastPrefillNumber uint32
+	// owned holds the targets that this router owns.
 	owned map[Hash]bool
-	// fresh tells that the fleet started for the first time, when this router did.
-	fresh   bool
-	started time.Time
-	// placed is signalled when there are new readings.
-	placed chan struct{}
-	// stated is what the engines are stated to carry in the window of uses, in
-	// tokens; 0 if nobody says.
-	stated int
-	// heard is when bytes last arrived from the targets of each data centre.
-	heard map[string]time.Time
-	// cut holds the data centres that seem to be cut off.
-	cut map[string]bool
-	// evacuated holds the data centres whose targets are to get nothing new.
+	// firstStart is set if the fleet started for the first time together with this router.
+	firstStart bool
+	started    time.Time
+	// updateReady is signalled when there are new entries for an update.
+	updateReady chan struct{}
+	// statedCapacity is the stated capacity of the engines in the window of usage, in tokens; 0
+	// if none is stated.
+	statedCapacity int
+	// lastReceived is when data was last received from the targets or routers of each data
+	// centre.
+	lastReceived map[string]time.Time
+	// cutOff holds the data centres that seem to be cut off.
+	cutOff map[string]bool
+	// evacuated holds the data centres whose targets must get no new requests.
 	evacuated map[string]bool
-	// notices is what runs of targets said of themselves.
-	notices map[Hash]*noticed
-	// warm is set until the first targets are known, if the fleet ran before.
-	warm bool
+	// announcements holds what incarnations of targets announced about themselves.
+	announcements map[Hash]*announcement
+	// assumeCached is set until the first targets are known, if the fleet ran before.
+	assumeCached bool
 }
 
-// warmFor is how long parts of which nothing is known count as kept by the
-// targets that a router finds at its start: parts that are in use are asked for
-// every few seconds, others are forgotten.
-const warmFor = 10 * time.Second
+// assumeCachedTTL is the time for which unknown parts count as cached by the targets that a
+// router finds at its start: parts in use are requested every few seconds, others are evicted.
+const assumeCachedTTL = 10 * time.Second
 
 // New returns a placer without targets.
 func New(o Options) *Placer {
 	return &Placer{
 		clock: o.Clock, regions: o.Regions, services: make(map[string]*service), targets: make(map[string]*target),
-		byHash: make(map[Hash]*target), peers: make(map[string]*report), uses: make(map[Hash]*ring), othersUses: make(useSums),
-		notices: make(map[Hash]*noticed), heard: make(map[string]time.Time), cut: make(map[string]bool), warm: o.AssumeCached, fresh: !o.AssumeCached, started: o.Clock.Now(), changed: make(map[Hash]*target), busy: make(map[Hash]*target), placed: make(chan struct{}, 1),
+		byHash: make(map[Hash]*target), peers: make(map[string]*peerReport), usage: make(map[Hash]*ring), othersUsage: make(useSums),
+		announcements: make(map[Hash]*announcement), lastReceived: make(map[string]time.Time), cutOff: make(map[string]bool), assumeCached: o.AssumeCached, firstStart: !o.AssumeCached, started: o.Clock.Now(), changed: make(map[Hash]*target), busy: make(map[Hash]*target), updateReady: make(chan struct{}, 1),
 	}
 }
 
-// Place chooses a target and counts the request there, or refuses it. Answers are
-// those to Questions, as far as there are any.
+// Place chooses a target and counts the request there, or refuses it. The replies are those to
+// Queries; they may be incomplete.
 func (p *Placer) Place(r Request, answers ...Reply) Decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	known := p.take(answers, now)
+	known := p.applyReplies(answers, now)
 	s := p.services[r.Service]
 	if s == nil {
 		return Decision{Reason: NoTarget, RetryAfter: noTargetRetry}
@@ -227,11 +225,11 @@
 		return Decision{Reason: NotAllowed, RetryAfter: noTargetRetry}
 	}
 	if s.engine == nil {
-		return p.plain(s, r, known, now)
+		return p.placePlain(s, r, known, now)
 	}
-	return p.home(s, r, known, now)
+	return p.placeEngine(s, r, known, now)
 }
 
-// noTargetRetry is when a caller may come back if there is no target: lists
-// lag by about a second.
+// noTargetRetry is the delay after which a caller may retry if there is no target: lists of
+// targets lag by about a second.
 const noTargetRetry = 500 * time.Millisecond
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-func ask(c *message.Call, customer string) Request {
+func promptRequest(c *message.Call, customer string) Request {
 	return Request{Service: "model", Customer: customer, Objective: objective, Call: c}
 }
 
@@ -62,7 +62,7 @@
 	used := make(map[string]int)
 	for i := range 100 {
 		c := call(fmt.Sprint(i), 1000, 10)
-		da, db := a.Place(ask(c, "c")), b.Place(ask(c, "c"))
+		da, db := a.Place(promptRequest(c, "c")), b.Place(promptRequest(c, "c"))
 		assert.Equal(t, da.Run.Target.ID, db.Run.Target.ID)
 		used[da.Run.Target.ID]++
 		da.Run.End(Answered)
@@ -74,14 +74,14 @@
 func TestHomesOutlastTheRestartOfATarget(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := call("part", 1000, 10)
-	first := p.Place(ask(c, "c")).Run
+	first := p.Place(promptRequest(c, "c")).Run
 	first.End(Answered)
 	list := targets("model", 9)
 	for _, target := range list {
 		target.ID += "-again"
 	}
 	p.SetTargets(list, table(t))
-	assert.Equal(t, p.Place(ask(c, "c")).Run.Target.Address, first.Target.Address)
+	assert.Equal(t, p.Place(promptRequest(c, "c")).Run.Target.Address, first.Target.Address)
 }
 
 func TestFullHomeGivesWayToTheNextThenRefuses(t *testing.T) {
@@ -89,7 +89,7 @@
 	used := make(map[string]int)
 	var refused Decision
 	for range 200 {
-		d := p.Place(ask(call("hot", 2000, 4000), "c"))
+		d := p.Place(promptRequest(call("hot", 2000, 4000), "c"))
 		if d.Run == nil {
 			refused = d
 			break
@@ -98,15 +98,15 @@
 	}
 	assert.Equal(t, len(used), maxHomes)
 	assert.Equal(t, refused.Reason, Overloaded)
-	assert.Assert(t, refused.RetryAfter >= leastRetry && refused.RetryAfter <= mostRetry)
+	assert.Assert(t, refused.RetryAfter >= minRetryAfter && refused.RetryAfter <= maxRetryAfter)
 }
 
 func TestPromptTooLongForAnyTargetIsAdmittedWhereLittleWaits(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	long := call("long", 100, 90_000)
-	assert.Assert(t, p.Place(ask(long, "c")).Run != nil)
-	assert.Assert(t, p.Place(ask(long, "c")).Rank == 1, "the next one has another home")
-	assert.Equal(t, p.Place(ask(long, "c")).Reason, Overloaded)
+	assert.Assert(t, p.Place(promptRequest(long, "c")).Run != nil)
+	assert.Assert(t, p.Place(promptRequest(long, "c")).Rank == 1, "the next one has another home")
+	assert.Equal(t, p.Place(promptRequest(long, "c")).Reason, Overloaded)
 }
 
 // TestIdleTargetsTakeRequestsWhateverIsExpected has every request take far
@@ -115,7 +115,7 @@
 func TestIdleTargetsTakeRequestsWhateverIsExpected(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	for i := range 100 {
-		d := p.Place(ask(call(fmt.Sprint(i), 100*i, 10), "c"))
+		d := p.Place(promptRequest(call(fmt.Sprint(i), 100*i, 10), "c"))
 		assert.Assert(t, d.Run != nil, "request %d, expected time %v", i, d.Predicted)
 		clock.Advance(2*time.Second + time.Duration(2*i)*time.Millisecond)
 		d.Run.FirstEvent(true)
@@ -126,24 +126,24 @@
 func TestWorkOfOtherRoutersCounts(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	c := call("part", 1000, 10)
-	home := p.Place(ask(c, "c")).Run
+	home := p.Place(promptRequest(c, "c")).Run
 	home.End(Answered)
 	p.ApplyReport("other", Report{Update: Update{Prefills: []Prefill{{Target: HashOf(home.Target.ID), Tokens: 60_000}}}})
 	clock.Advance(70 * time.Millisecond)
-	d := p.Place(ask(c, "c"))
+	d := p.Place(promptRequest(c, "c"))
 	assert.Equal(t, d.Rank, 1)
 	assert.Equal(t, d.ReportAge, 70*time.Millisecond)
 	d.Run.End(Answered)
 	p.RemovePeer("other")
-	assert.Equal(t, p.Place(ask(c, "c")).Rank, 1, "what a router sent waits also when it is lost")
+	assert.Equal(t, p.Place(promptRequest(c, "c")).Rank, 1, "what a router sent waits also when it is lost")
 	clock.Advance(2 * time.Second)
-	assert.Equal(t, p.Place(ask(c, "c")).Run.Target.ID, home.Target.ID)
+	assert.Equal(t, p.Place(promptRequest(c, "c")).Run.Target.ID, home.Target.ID)
 }
 
 func TestPartsReadByOtherRoutersAreKept(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := call("part", 20_000, 10)
-	d := p.Place(ask(c, "c"))
+	d := p.Place(promptRequest(c, "c"))
 	assert.Equal(t, d.PrefillTokens, 20_010)
 	d.Run.End(Cancelled)
 	other, _ := newTestPlacer(t)
@@ -152,7 +152,7 @@
 	again := p.TakeUpdate()
 	assert.Assert(t, again.Empty(), "taken twice")
 	other.ApplyReport("p", Report{Update: news})
-	assert.Equal(t, other.Place(ask(c, "c")).PrefillTokens, 10)
+	assert.Equal(t, other.Place(promptRequest(c, "c")).PrefillTokens, 10)
 }
 
 // TestTargetsFoundAtAStartKeepWhatIsInUse has a router start into a fleet that
@@ -164,7 +164,7 @@
 	p.SetTargets(nil, table(t))
 	p.SetTargets(targets("model", 1), table(t))
 	unread := func(shared string) int {
-		d := p.Place(ask(call(shared, 1000, 10), "c"))
+		d := p.Place(promptRequest(call(shared, 1000, 10), "c"))
 		d.Run.End(Answered)
 		return d.PrefillTokens
 	}
@@ -179,17 +179,17 @@
 	clock := clockwork.NewFakeClock()
 	p := New(Options{Clock: clock, AssumeCached: true})
 	p.SetTargets(targets("model", 1), table(t))
-	clock.Advance(warmFor)
-	assert.Equal(t, p.Place(ask(call("a", 1000, 10), "c")).PrefillTokens, 1010)
+	clock.Advance(assumeCachedTTL)
+	assert.Equal(t, p.Place(promptRequest(call("a", 1000, 10), "c")).PrefillTokens, 1010)
 }
 
 func TestPartsAreForgottenWhenTheMemoryWasReadOver(t *testing.T) {
-	var k kept
+	var k prefixCache
 	k.touch([]Hash{1}, 10)
-	assert.Assert(t, k.holds(1, 1000))
+	assert.Assert(t, k.contains(1, 1000))
 	k.touch([]Hash{2}, 700)
-	assert.Assert(t, !k.holds(1, 1000))
-	assert.Assert(t, k.holds(2, 1000))
+	assert.Assert(t, !k.contains(1, 1000))
+	assert.Assert(t, k.contains(2, 1000))
 }
 
 func TestPlainServicesTakeTheLeastLoadedTarget(t *testing.T) {
@@ -226,12 +226,12 @@
 func TestRunKnowsThatItsTargetLeaves(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := call("part", 1000, 10)
-	replaced, other := p.Place(ask(c, "c")).Run, p.Place(ask(c, "c")).Run
+	replaced, other := p.Place(promptRequest(c, "c")).Run, p.Place(promptRequest(c, "c")).Run
 	assert.Equal(t, replaced.Target.ID, other.Target.ID)
 	assert.Assert(t, !other.Unavailable())
 	replaced.End(Replaced)
 	assert.Assert(t, other.Unavailable())
-	next := p.Place(ask(c, "c")).Run
+	next := p.Place(promptRequest(c, "c")).Run
 	assert.Assert(t, next.Target.ID != replaced.Target.ID)
 	p.SetTargets(nil, table(t))
 	assert.Assert(t, next.Unavailable())
@@ -310,8 +310,8 @@
 }
 
 func TestSpeedLearnsALine(t *testing.T) {
-	s := newSpeed()
-	s.guess(30_000)
+	s := newLatencyEstimator()
+	s.setStatedSpeed(30_000)
 	for i := range 200 {
 		tokens := i * 100
 		s.learn(tokens, 40*time.Millisecond+time.Duration(tokens)*20*time.Microsecond)
@@ -348,7 +348,7 @@
 	p.SetTargets(targets("model", n), table)
 	c := call("part", 2000, 100)
 	for b.Loop() {
-		if d := p.Place(ask(c, "c")); d.Run != nil {
+		if d := p.Place(promptRequest(c, "c")); d.Run != nil {
 			d.Run.End(Answered)
 		}
 	}
@@ -367,17 +367,17 @@
 	}
 	p.SetTargets(list, table(t))
 	p.SetEvacuated(map[string]bool{"other": true})
-	before := p.Place(ask(call("part", 500, 100), "c")).Run
+	before := p.Place(promptRequest(call("part", 500, 100), "c")).Run
 	assert.Equal(t, before.Target.DataCentre, "evacuated")
 	assert.Assert(t, !before.Unavailable())
 	p.SetEvacuated(map[string]bool{"evacuated": true})
 	assert.Assert(t, before.Unavailable())
 	for i := range 20 {
-		d := p.Place(ask(call(fmt.Sprint("part", i), 500, 100), "c"))
+		d := p.Place(promptRequest(call(fmt.Sprint("part", i), 500, 100), "c"))
 		assert.Equal(t, d.Run.Target.DataCentre, "other")
 	}
 	p.SetEvacuated(map[string]bool{"evacuated": true, "other": true})
-	assert.Equal(t, p.Place(ask(call("part", 500, 100), "c")).Reason, NoTarget)
+	assert.Equal(t, p.Place(promptRequest(call("part", 500, 100), "c")).Reason, NoTarget)
 }
 
 // TestColdTargetsThatBearLittleAreSpared has half of the targets cold for a second.
@@ -397,7 +397,7 @@
 	coldOnes := func() int {
 		n := 0
 		for i := range 40 {
-			if d := p.Place(ask(call(fmt.Sprint("part", i), 500, 100), "c")); cold[d.Run.Target.ID] {
+			if d := p.Place(promptRequest(call(fmt.Sprint("part", i), 500, 100), "c")); cold[d.Run.Target.ID] {
 				n++
 			}
 		}
--- a/place/plain.go
+++ b/place/plain.go
@@ -6,53 +6,54 @@
 )
 
 const (
-	// plainPart is the part of its objective within which a call of a plain service must
-	// be expected to be answered, to be begun. What is left is for the caller's way, for
-	// another try and for what routers do not know of each other: with 0.7 an eighth of
-	// what was begun came late, with 0.35 and 0.5 next to nothing (replayed).
-	plainPart = 0.4
-	// soonPart is the least time after which a caller is asked back, as a part of the
-	// time of a slot: a caller that comes back within its objective is served in time.
-	soonPart = 0.5
+	// plainObjectiveShare is the share of its objective within which a call of a plain service
+	// must be predicted to complete to be admitted. The remainder covers the network time of the
+	// caller, another attempt, and requests of other routers that this router does not know about
+	// yet: with 0.7, an eighth of the admitted calls completed late; with 0.35 and 0.5, almost
+	// none (replayed).
+	plainObjectiveShare = 0.4
+	// minRetryShare is the minimum retry delay as a share of the slot time: a caller that retries
+	// within its objective can still be served in time.
+	minRetryShare = 0.5
 )
 
-// plain takes the target of a plain service with the least work for its slots, by chance
-// among equals: among those that were asked about, if there are any.
+// placePlain chooses the target of a plain service with the fewest requests per slot, at random
+// among equals. If there are replies, it chooses among their targets.
 //
-// The load that it answers: half of the targets are gone, and more is asked than the
-// others carry. Without a bound each call then waits until its objective is over, and
-// targets turn away what finds their queues full, so that hardly any caller is served in
-// time although five of six could be. So a call that is not expected to be answered in
-// its objective is refused at once; its caller may come back when it is expected to be:
-// 83 of 100 calls are then answered in their objective in place of 64, which is what the
-// slots carry (two of four targets leave, 241 calls a second, replayed over 16 routers).
-// A target with a free slot takes a call whatever is expected: a refusal would leave it
-// idle, and a router that expects too much would learn nothing any more.
-func (p *Placer) plain(s *service, r Request, known told, now time.Time) Decision {
+// It handles the load at which half of the targets are lost and more calls are requested than the
+// others can serve. Without a limit each call then waits until its objective has passed, and
+// targets refuse calls because their queues are full, so that hardly any call is served in time
+// although five of six could be. Therefore a call that is not predicted to complete within its
+// objective is refused immediately, with a retry delay until it is predicted to: 83 of 100 calls
+// then complete within their objective instead of 64, which is the capacity of the slots (two of
+// four targets leave, 241 calls a second, replayed over 16 routers). A target with a free slot
+// accepts a call whatever the prediction: a refusal would leave it idle, and a router whose
+// predictions are too high would get no samples to correct them.
+func (p *Placer) placePlain(s *service, r Request, known repliesByTarget, now time.Time) Decision {
 	t := p.leastBusy(s, r, known, now)
 	if t == nil {
-		return p.none(s, &r, now)
+		return p.refuseNoTarget(s, &r, now)
 	}
 	d := Decision{
-		Share:       p.currentShares(now).callPart(r.Customer),
+		Share:       p.currentShares(now).callLimitFactor(r.Customer),
 		Outstanding: t.outstanding(), HasFreeSlot: t.outstanding() < t.Slots,
-		Replies: len(known), ReportAge: p.oldestReport(now),
+		Replies: len(known), ReportAge: p.oldestReportAge(now),
 	}
-	if s.holds.known() {
-		d.Wait = s.holds.untilFree(d.Outstanding, t.Slots)
-		d.Predicted = d.Wait + s.holds.mean
+	if s.slotTime.known() {
+		d.Wait = s.slotTime.untilFree(d.Outstanding, t.Slots)
+		d.Predicted = d.Wait + s.slotTime.mean
 	}
-	limit := time.Duration(plainPart * d.Share * float64(r.Objective))
+	limit := time.Duration(plainObjectiveShare * d.Share * float64(r.Objective))
 	if !d.HasFreeSlot && d.Predicted > limit {
 		d.AboveShare = d.Share < 1
-		return p.refuse(r, d, Usage{CallsRequested: 1}, limit, time.Duration(soonPart*float64(s.holds.mean)), now)
+		return p.refuse(r, d, Usage{CallsRequested: 1}, limit, time.Duration(minRetryShare*float64(s.slotTime.mean)), now)
 	}
 	return p.begin(t, r, d, Usage{CallsRequested: 1}, Usage{CallsServed: 1}, now)
 }
 
-// leastBusy returns the target with the least work for its slots, nil if there is none: among
-// those that were asked about, unless all of these have come to want nothing meanwhile.
-func (p *Placer) leastBusy(s *service, r Request, known told, now time.Time) *target {
+// leastBusy returns the target with the fewest requests per slot, nil if there is none. It
+// chooses among the targets that replied, unless all of these have become unusable meanwhile.
+func (p *Placer) leastBusy(s *service, r Request, known repliesByTarget, now time.Time) *target {
 	if len(known) > 0 {
 		if t := p.leastBusyOf(s, r, known, now); t != nil {
 			return t
@@ -61,8 +62,9 @@
 	return p.leastBusyOf(s, r, nil, now)
 }
 
-// leastBusyOf looks among the targets that are known, all of them if none is.
-func (p *Placer) leastBusyOf(s *service, r Request, known told, now time.Time) *target {
+// leastBusyOf chooses among the targets of the replies, or among all targets if there are no
+// replies.
+func (p *Placer) leastBusyOf(s *service, r Request, known repliesByTarget, now time.Time) *target {
 	var (
 		best   *target
 		graded grade
@@ -74,7 +76,7 @@
 		if _, asked := known[t.hash]; len(known) > 0 && !asked {
 			continue
 		}
-		p.forgetAnswer(t, now)
+		p.expireReply(t, now)
 		if g > graded || g == graded && g > unusable && t.busyness() < best.busyness() {
 			best, graded = t, g
 		}
@@ -82,5 +84,5 @@
 	return best
 }
 
-// busyness is the work of a target for each of its slots.
+// busyness returns the number of requests of a target per slot.
 func (t *target) busyness() float64 { return float64(t.outstanding()) / float64(max(t.Slots, 1)) }
--- a/place/plain_test.go
+++ b/place/plain_test.go
@@ -55,27 +55,27 @@
 type plainFleet struct {
 	routers
 	servers map[string]*plainTarget
-	// coming holds the callers that come back, with the time when they do.
-	coming  map[*plainCall]time.Time
-	tallies map[string]*plainTally
-	total   plainTally
+	// retrying holds the callers that come back, with the time when they do.
+	retrying map[*plainCall]time.Time
+	tallies  map[string]*plainTally
+	total    plainTally
 }
 
 func newPlainFleet(t *testing.T, seed uint64) *plainFleet {
 	t.Helper()
 	f := &plainFleet{
 		routers: routers{clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 3))},
-		servers: make(map[string]*plainTarget), coming: make(map[*plainCall]time.Time), tallies: make(map[string]*plainTally),
+		servers: make(map[string]*plainTarget), retrying: make(map[*plainCall]time.Time), tallies: make(map[string]*plainTally),
 	}
 	for range plainRouters {
 		f.placers = append(f.placers, New(Options{Clock: f.clock}))
 	}
-	f.have(t, 4)
+	f.setTargets(t, 4)
 	return f
 }
 
-// have makes the first n targets those that there are.
-func (f *plainFleet) have(t *testing.T, n int) {
+// setTargets makes the first n targets those that there are.
+func (f *plainFleet) setTargets(t *testing.T, n int) {
 	t.Helper()
 	list := targets("plain", n)
 	for _, x := range list {
@@ -117,18 +117,18 @@
 				f.place(&plainCall{customer: name, asked: f.clock.Now()})
 			}
 		}
-		f.comeBack()
+		f.retry()
 		f.serve()
-		f.tell(time.Duration(ms) * time.Millisecond)
+		f.exchange(time.Duration(ms) * time.Millisecond)
 		f.clock.Advance(time.Millisecond)
 	}
 }
 
-// comeBack has callers return whose time has come.
-func (f *plainFleet) comeBack() {
-	for c, at := range f.coming {
+// retry has callers return whose time has come.
+func (f *plainFleet) retry() {
+	for c, at := range f.retrying {
 		if !at.After(f.clock.Now()) {
-			delete(f.coming, c)
+			delete(f.retrying, c)
 			f.place(c)
 		}
 	}
@@ -146,7 +146,7 @@
 	default:
 		c.returned = true
 		f.tally(c.customer, func(t *plainTally) { t.returned++ })
-		f.coming[c] = f.clock.Now().Add(min(d.RetryAfter, plainDeadline/3))
+		f.retrying[c] = f.clock.Now().Add(min(d.RetryAfter, plainDeadline/3))
 	}
 }
 
@@ -209,7 +209,7 @@
 		}
 		f.run(5*time.Second, rates)
 		assert.Assert(t, f.total.inTime > f.total.asked*95/100, "all is served while all targets are there: %+v", f.total)
-		f.have(t, 2)
+		f.setTargets(t, 2)
 		f.run(2*time.Second, rates)
 		f.total = plainTally{}
 		f.run(10*time.Second, rates)
@@ -217,7 +217,7 @@
 		assert.Assert(t, f.total.inTime > f.total.asked*70/100, "%+v", f.total)
 		assert.Assert(t, f.total.late < f.total.admitted*5/100, "what is admitted is in time: %+v", f.total)
 		assert.Assert(t, f.total.shed < f.total.admitted*2/100, "targets turn little away: %+v", f.total)
-		f.have(t, 4)
+		f.setTargets(t, 4)
 		f.run(time.Second, rates)
 		f.total = plainTally{}
 		f.run(3*time.Second, rates)
@@ -285,16 +285,16 @@
 	for _, run := range runs {
 		run.End(Answered)
 	}
-	hold := p.service("plain").holds.mean
+	hold := p.service("plain").slotTime.mean
 	assert.Assert(t, hold > plainWork/2 && hold < 2*plainWork, "%v", hold)
-	p.service("plain").holds.mean = time.Second
+	p.service("plain").slotTime.mean = time.Second
 	assert.Assert(t, p.Place(r).Run != nil, "a free slot is used whatever is expected")
 	for range 3 * 64 {
 		p.Place(r)
 	}
 	d := p.Place(r)
 	assert.Equal(t, d.Reason, Overloaded)
-	assert.Assert(t, d.RetryAfter >= 500*time.Millisecond && d.RetryAfter <= mostRetry)
+	assert.Assert(t, d.RetryAfter >= 500*time.Millisecond && d.RetryAfter <= maxRetryAfter)
 }
 
 // TestAskedTargetsThatLeaveMeanwhileAreNotAllThereAre has the two targets that were asked about
@@ -304,14 +304,14 @@
 	for name, n := range map[string]notice.Notice{"backoff": {Backoff: time.Second}, "leaving": {Leaving: true}} {
 		t.Run(name, func(t *testing.T) {
 			p, _ := newTestPlacer(t)
-			r := ask(call("some", 1000, 10), "c")
+			r := promptRequest(call("some", 1000, 10), "c")
 			r.Service = "plain"
 			asked := p.Queries(r)
 			assert.Equal(t, len(asked), plainChoices)
 			var answers []Reply
 			for _, q := range asked {
 				answers = append(answers, Reply{Target: q.Target, Slowness: 1})
-				p.notice(q.Target, n)
+				p.applyNotice(q.Target, n)
 			}
 			d := p.Place(r, answers...)
 			assert.Assert(t, d.Run != nil, d.Reason)
--- a/place/prefix_cache.go
+++ b/place/prefix_cache.go
@@ -2,93 +2,93 @@
 
 import "zinccove.example/zinccove/message"
 
-// kept remembers which shared parts of prompts a target has read. Engines
-// forget the parts that were not used for longest, so a part counts as kept
-// until the target has read about its memory's worth of other tokens.
-type kept struct {
-	// read is the number of tokens read so far; used holds its value at the last
-	// use of each part.
-	read uint64
-	used map[Hash]uint64
+// prefixCache estimates which prefix parts a target has cached. Engines evict the least recently
+// used parts, so a part counts as cached until the target has prefilled other tokens that fill a
+// large part of its memory.
+type prefixCache struct {
+	// prefilled is the number of tokens prefilled so far; lastUse holds its value at the last use
+	// of each part.
+	prefilled uint64
+	lastUse   map[Hash]uint64
 }
 
 const (
-	// keptPart is the part of an engine's memory that other tokens may fill
-	// before a part counts as forgotten; running requests need the rest.
-	keptPart = 0.6
-	// maxKept bounds the parts remembered for one target.
-	maxKept = 4096
+	// cacheShare is the share of an engine's memory that other tokens may fill before a part
+	// counts as evicted; running requests need the rest.
+	cacheShare = 0.6
+	// maxCachedParts bounds the parts tracked for one target.
+	maxCachedParts = 4096
 )
 
-// touch notes that a prompt with these shared parts was placed.
-func (k *kept) touch(parts []Hash, unread int) {
-	if k.used == nil {
-		k.used = make(map[Hash]uint64)
+// touch records that a prompt with these prefix parts was placed.
+func (k *prefixCache) touch(parts []Hash, unread int) {
+	if k.lastUse == nil {
+		k.lastUse = make(map[Hash]uint64)
 	}
-	k.read += uint64(unread)
+	k.prefilled += uint64(unread)
 	for _, part := range parts {
-		k.used[part] = k.read
+		k.lastUse[part] = k.prefilled
 	}
 }
 
-// holds reports whether a part is kept by a target with a memory of so many
-// tokens.
-func (k *kept) holds(part Hash, memory int) bool {
-	at, ok := k.used[part]
-	return ok && k.read-at < uint64(float64(memory)*keptPart)
+// contains reports whether a part counts as cached by a target with the given memory in tokens.
+func (k *prefixCache) contains(part Hash, memory int) bool {
+	at, ok := k.lastUse[part]
+	return ok && k.prefilled-at < uint64(float64(memory)*cacheShare)
 }
 
-// knows reports whether this router remembers a use of a part, kept or not.
-func (k *kept) knows(part Hash) bool {
-	_, ok := k.used[part]
+// knows reports whether this router tracks a use of a part, whether the part is still cached or
+// not.
+func (k *prefixCache) knows(part Hash) bool {
+	_, ok := k.lastUse[part]
 	return ok
 }
 
-// trim forgets parts that are not kept any more.
-func (k *kept) trim(memory int) {
-	if len(k.used) < maxKept {
+// trim removes parts that are no longer cached. If too many are left, it removes all.
+func (k *prefixCache) trim(memory int) {
+	if len(k.lastUse) < maxCachedParts {
 		return
 	}
-	for part := range k.used {
-		if !k.holds(part, memory) {
-			delete(k.used, part)
+	for part := range k.lastUse {
+		if !k.contains(part, memory) {
+			delete(k.lastUse, part)
 		}
 	}
-	if len(k.used) >= maxKept {
-		clear(k.used)
+	if len(k.lastUse) >= maxCachedParts {
+		clear(k.lastUse)
 	}
 }
 
-// prompt is what placing needs to know of a prompt.
+// prompt is the part of a prompt that placement needs.
 type prompt struct {
-	// shared are the hashes of the shared parts, sizes their tokens.
-	shared []Hash
-	sizes  []int
-	total  int
-	// own is the size of the part that no other prompt shares, at least 1.
-	own int
+	// prefixParts are the hashes of the prefix parts, partTokens their sizes.
+	prefixParts []Hash
+	partTokens  []int
+	total       int
+	// uniqueTokens is the size of the part that no other prompt shares, at least 1.
+	uniqueTokens int
 }
 
 func newPrompt(c *message.Call) prompt {
 	p := prompt{total: max(c.PromptTokens, 1)}
 	for i := range len(c.Parts) - 1 {
-		p.shared = append(p.shared, HashOf(c.Parts[i].ID))
-		p.sizes = append(p.sizes, c.Parts[i].Tokens)
+		p.prefixParts = append(p.prefixParts, HashOf(c.Parts[i].ID))
+		p.partTokens = append(p.partTokens, c.Parts[i].Tokens)
 	}
-	p.own = max(p.total-c.SharedTokens(), 1)
+	p.uniqueTokens = max(p.total-c.SharedTokens(), 1)
 	return p
 }
 
-// unread is the number of tokens that a target has to read: a part is kept
-// only together with all parts before it. Parts of which nothing is known count
-// as kept if assumeKept is set.
-func (p *prompt) unread(k *kept, memory int, assumeKept bool) int {
-	left := p.total
-	for i, part := range p.shared {
-		if !k.holds(part, memory) && !(assumeKept && !k.knows(part)) {
+// prefillTokens returns the number of tokens that a target has to prefill: a part can be reused
+// only together with all parts before it. Parts that this router knows nothing about count as
+// cached if assumeCached is set.
+func (p *prompt) prefillTokens(k *prefixCache, memory int, assumeKept bool) int {
+	remaining := p.total
+	for i, part := range p.prefixParts {
+		if !k.contains(part, memory) && !(assumeKept && !k.knows(part)) {
 			break
 		}
-		left -= p.sizes[i]
+		remaining -= p.partTokens[i]
 	}
-	return max(left, 1)
+	return max(remaining, 1)
 }
--- a/place/query.go
+++ b/place/query.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// Query asks the router that answers for a target how things are there. All
-// routers tell that one what they place at the target, so that it alone knows what
-// waits: each router of a large fleet sees a small part of the requests, and a queue at an
-// engine lives for some 100 ms.
+// Query asks the owner of a target for the state of that target. All routers report to the owner
+// what they place at the target, so only the owner knows what is pending there: each router of a
+// large fleet sees a small part of the requests, and a queue at an engine lasts for some 100 ms.
 type Query struct {
 	Target Hash
-	// PrefixParts are the shared parts of the prompt, PartTokens their tokens, PromptTokens those of the
-	// whole prompt; none for plain services.
+	// PrefixParts are the prefix parts of the prompt, PartTokens their sizes, and PromptTokens
+	// the size of the whole prompt. All are zero for plain services.
 	PrefixParts  []Hash
 	PartTokens   []int
 	PromptTokens int
-	// FirstHome tells that the target is the prompt's first home.
+	// FirstHome reports whether the target is the prompt's first home.
 	FirstHome bool
 }
 
-// Reply is how things are at a target.
+// Reply is the state of a target as its owner knows it.
 type Reply struct {
 	Target Hash
-	// PendingTokens is the number of tokens that wait to be read, Requests that of requests.
+	// PendingTokens is the number of tokens that wait for prefill, Requests the number of
+	// outstanding requests.
 	PendingTokens int
 	Requests      int
-	// PrefillTokens is the number of tokens that the prompt adds.
+	// PrefillTokens is the number of tokens of the prompt that the target would have to prefill.
 	PrefillTokens int
-	// Slowness is the part by which the target takes longer than others.
+	// Slowness is the factor by which first events of the target take longer than those of
+	// others.
 	Slowness float64
-	// LatencyModel is what the router that answers has learned of first events at the targets of the
+	// LatencyModel is what the owner has learned about first events at the targets of the
 	// service; zero for plain services.
 	LatencyModel LatencyModel
 }
 
-// plainChoices is the number of targets of a plain service that a request is placed
-// among: two by chance are nearly as good as all, and cost their routers less.
+// plainChoices is the number of random targets of a plain service among which a request is
+// placed. Two random choices are nearly as good as all targets and cost fewer queries.
 const plainChoices = 2
 
-// Queries returns what should be known before a request is placed.
+// Queries returns the queries whose replies should be known before a request is placed.
 func (p *Placer) Queries(r Request) []Query {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,18 +52,18 @@
 	p.liftVersions(s, &r)
 	now := p.clock.Now()
 	if s.engine == nil {
-		return p.plainQuestions(s, r, now)
+		return p.plainQueries(s, r, now)
 	}
 	pr := newPrompt(r.Call)
 	var list []Query
 	ask := func(t *target, first bool) {
-		list = append(list, Query{Target: t.hash, PrefixParts: pr.shared, PartTokens: pr.sizes, PromptTokens: pr.total, FirstHome: first})
+		list = append(list, Query{Target: t.hash, PrefixParts: pr.prefixParts, PartTokens: pr.partTokens, PromptTokens: pr.total, FirstHome: first})
 	}
 	homes, left := p.homes(s, r, now)
 	for rank, t := range homes {
 		ask(t, rank == 0)
 	}
-	if s.engine.CopyRate > 0 && len(pr.shared) > 0 {
+	if s.engine.CopyRate > 0 && len(pr.prefixParts) > 0 {
 		for _, t := range left {
 			ask(t, true)
 		}
@@ -70,10 +71,10 @@
 	return list
 }
 
-// plainQuestions draws some targets of the best grade.
-func (p *Placer) plainQuestions(s *service, r Request, now time.Time) []Query {
+// plainQueries returns queries for random targets of the best grade.
+func (p *Placer) plainQueries(s *service, r Request, now time.Time) []Query {
 	var best []*target
-	graded := doubtful
+	graded := degraded
 	for _, t := range s.targets {
 		g := p.grade(s, t, r, now)
 		if g > graded {
@@ -91,7 +92,7 @@
 	return list
 }
 
-// Reply answers a question of another router; ok is false if the target is not known.
+// Reply replies to a query of another router; ok is false if the target is not known.
 func (p *Placer) Reply(q Query) (a Reply, ok bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,76 +105,76 @@
 	slow := t.slow.factor(now)
 	a = Reply{Target: q.Target, PendingTokens: s.backlog(t, slow, now), Requests: t.outstanding(), Slowness: slow}
 	if s.engine != nil {
-		a.LatencyModel = s.speed.LatencyModel
-		pr := prompt{shared: q.PrefixParts, sizes: q.PartTokens, total: max(q.PromptTokens, 1)}
-		a.PrefillTokens = pr.unread(&t.kept, s.engine.MemoryTokens, q.FirstHome && t.warm(now))
+		a.LatencyModel = s.latency.LatencyModel
+		pr := prompt{prefixParts: q.PrefixParts, partTokens: q.PartTokens, total: max(q.PromptTokens, 1)}
+		a.PrefillTokens = pr.prefillTokens(&t.cache, s.engine.MemoryTokens, q.FirstHome && t.assumesCached(now))
 	}
 	return a, true
 }
 
-// told are answers by target.
-type told map[Hash]Reply
+// repliesByTarget holds the replies to the queries for one request.
+type repliesByTarget map[Hash]Reply
 
-// take makes answers what is known of their targets.
-func (p *Placer) take(answers []Reply, now time.Time) told {
-	known := make(told, len(answers))
+// applyReplies replaces the estimates for the targets of replies by the owners' figures.
+func (p *Placer) applyReplies(answers []Reply, now time.Time) repliesByTarget {
+	known := make(repliesByTarget, len(answers))
 	for _, a := range answers {
 		t := p.byHash[a.Target]
 		if t == nil {
 			continue
 		}
 		known[a.Target] = a
-		p.service(t.Service).speed.adopt(a.LatencyModel)
-		t.slow = slowness{log: math.Log(min(max(a.Slowness, 1/mostSlowness), mostSlowness)), at: now}
+		p.service(t.Service).latency.adopt(a.LatencyModel)
+		t.slow = slowness{log: math.Log(min(max(a.Slowness, 1/maxSlowness), maxSlowness)), at: now}
 		t.queue.set(a.PendingTokens, now)
 		t.others.Requests = max(a.Requests-t.own.Requests, 0)
-		t.answered = now
+		t.repliedAt = now
 	}
 	return known
 }
 
-// answerFor is how long an answer tells of the present: some times as long as a request
-// holds a slot of an engine.
-const answerFor = 2 * time.Second
+// replyTTL is the time for which a reply overrides this router's own estimate: a few times as
+// long as a request holds a slot of an engine.
+const replyTTL = 2 * time.Second
 
-// forgetAnswer goes back to what this router knows itself once the last answer about a
-// target is old. Without it a target that was full then would count as full for as long
-// as nobody answers for it.
-func (p *Placer) forgetAnswer(t *target, now time.Time) {
-	if t.answered.IsZero() || now.Sub(t.answered) < answerFor {
+// expireReply returns to this router's own estimate once the last reply about a target is older
+// than replyTTL. Otherwise a target that was full at that reply would count as full for as long
+// as its owner sends no further reply.
+func (p *Placer) expireReply(t *target, now time.Time) {
+	if t.repliedAt.IsZero() || now.Sub(t.repliedAt) < replyTTL {
 		return
 	}
-	t.answered = time.Time{}
-	t.others = p.loadOfOthers(t.hash)
+	t.repliedAt = time.Time{}
+	t.others = p.othersLoad(t.hash)
 }
 
-// SetOwned takes the targets for which this router answers. What one that it did not
-// answer for before keeps is not known yet, unless it started meanwhile.
+// SetOwned sets the targets that this router owns. What a newly owned target has cached is not
+// known yet, unless the target started while this router ran.
 func (p *Placer) SetOwned(targets map[Hash]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for h := range targets {
-		p.own(h)
+		p.markOwned(h)
 	}
 	p.owned = targets
 }
 
-// AddOwned has this router answer for one more target.
+// AddOwned adds one target to those that this router owns.
 func (p *Placer) AddOwned(target Hash) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.own(target)
+	p.markOwned(target)
 	if p.owned == nil {
 		p.owned = make(map[Hash]bool)
 	}
 	p.owned[target] = true
 }
 
-func (p *Placer) own(target Hash) {
+func (p *Placer) markOwned(target Hash) {
 	now := p.clock.Now()
-	// At the first start of a fleet its targets keep nothing.
-	began := p.fresh && now.Sub(p.started) < warmFor
-	if t := p.byHash[target]; t != nil && !p.owned[target] && !began && !t.late {
-		t.warmUntil = now.Add(warmFor)
+	// At the first start of a fleet, its targets have cached nothing.
+	began := p.firstStart && now.Sub(p.started) < assumeCachedTTL
+	if t := p.byHash[target]; t != nil && !p.owned[target] && !began && !t.startedLater {
+		t.assumeCachedUntil = now.Add(assumeCachedTTL)
 	}
 }
--- a/place/query_test.go
+++ b/place/query_test.go
@@ -8,16 +8,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// answer is what a router answers about the first home of a request.
-func answer(p *Placer, r Request) Reply {
+// firstHomeReply is what a router answers about the first home of a request.
+func firstHomeReply(p *Placer, r Request) Reply {
 	a, _ := p.Reply(p.Queries(r)[0])
 	return a
 }
 
-// TestAnswersGoBeforeOwnKnowledge has another router place most of what waits.
-func TestAnswersGoBeforeOwnKnowledge(t *testing.T) {
+// TestRepliesOverrideOwnEstimates has another router place most of what waits.
+func TestRepliesOverrideOwnEstimates(t *testing.T) {
 	p, _ := newTestPlacer(t)
-	r := ask(call("part", 1000, 10), "c")
+	r := promptRequest(call("part", 1000, 10), "c")
 	q := p.Queries(r)
 	assert.Equal(t, len(q), maxHomes)
 	assert.Assert(t, q[0].FirstHome && !q[1].FirstHome)
@@ -30,40 +30,40 @@
 	assert.Equal(t, slow.Rank, 1, "the home is slow, as another router says")
 }
 
-// TestRouterThatAnswersLearnsFromOthersFirstEvents holds that it knows what waits
+// TestOwnerLearnsFromOthersFirstEvents holds that it knows what waits
 // without a request of its own, as long as engines read slower than it thinks.
-func TestRouterThatAnswersLearnsFromOthersFirstEvents(t *testing.T) {
+func TestOwnerLearnsFromOthersFirstEvents(t *testing.T) {
 	asked, clock := newTestPlacer(t)
 	other, _ := newTestPlacer(t)
 	other.clock = clock
-	r := ask(call("part", 0, 5_000), "c")
+	r := promptRequest(call("part", 0, 5_000), "c")
 	r.Objective = time.Minute
 	var runs []*Run
 	for range 2 {
 		runs = append(runs, other.Place(r).Run)
 	}
 	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
-	before := answer(asked, r)
+	before := firstHomeReply(asked, r)
 	assert.Equal(t, before.Requests, 2)
 	clock.Advance(250 * time.Millisecond)
-	assert.Equal(t, answer(asked, r).PendingTokens, 0, "all was read, as it believes")
+	assert.Equal(t, firstHomeReply(asked, r).PendingTokens, 0, "all was read, as it believes")
 	runs[0].FirstEvent(true)
 	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
-	after := answer(asked, r)
+	after := firstHomeReply(asked, r)
 	assert.Assert(t, after.PendingTokens > 1_000, "the second prompt waits still: %d", after.PendingTokens)
 	assert.Assert(t, after.Slowness != before.Slowness)
 	for _, run := range runs {
 		run.End(Answered)
 	}
 	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
-	assert.Equal(t, answer(asked, r).Requests, 0)
+	assert.Equal(t, firstHomeReply(asked, r).Requests, 0)
 }
 
-// TestTimesOfARouterInTroubleSayNothing has a router that is behind see every first
+// TestTimesOfALateRouterAreIgnored has a router that is behind see every first
 // event late.
-func TestTimesOfARouterInTroubleSayNothing(t *testing.T) {
+func TestTimesOfALateRouterAreIgnored(t *testing.T) {
 	p, clock := newTestPlacer(t)
-	r := ask(call("part", 0, 100), "c")
+	r := promptRequest(call("part", 0, 100), "c")
 	for range 20 {
 		run := p.Place(r).Run
 		clock.Advance(700 * time.Millisecond)
@@ -75,36 +75,36 @@
 	assert.Equal(t, p.Place(r).Slowness, 1.0)
 }
 
-// TestLoadsAreToldAgainAndForgotten has the news of an end get lost.
-func TestLoadsAreToldAgainAndForgotten(t *testing.T) {
+// TestLoadsAreRepeatedAndExpire has the news of an end get lost.
+func TestLoadsAreRepeatedAndExpire(t *testing.T) {
 	asked, clock := newTestPlacer(t)
 	other, _ := newTestPlacer(t)
 	other.clock = clock
-	r := ask(call("part", 0, 100), "c")
+	r := promptRequest(call("part", 0, 100), "c")
 	run := other.Place(r).Run
 	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
 	first := other.TakeUpdate()
 	assert.Equal(t, len(first.Loads), 0)
-	clock.Advance(repeatLoads)
+	clock.Advance(loadRepeatInterval)
 	again := other.TakeUpdate()
 	assert.Equal(t, len(again.Loads), 1)
 	asked.ApplyReport("other", Report{Update: again})
 	asked.ExpireLoads()
-	assert.Equal(t, answer(asked, r).Requests, 1)
+	assert.Equal(t, firstHomeReply(asked, r).Requests, 1)
 	run.End(Answered)
 	other.TakeUpdate() // lost on the way
-	clock.Advance(forgetLoads)
+	clock.Advance(loadTTL)
 	asked.ExpireLoads()
-	assert.Equal(t, answer(asked, r).Requests, 0)
+	assert.Equal(t, firstHomeReply(asked, r).Requests, 0)
 }
 
-// TestNewlyOwnedTargetsCountAsWarm has a router begin to answer for a target of a fleet
+// TestNewlyOwnedTargetsCountAsCached has a router begin to answer for a target of a fleet
 // that runs.
-func TestNewlyOwnedTargetsCountAsWarm(t *testing.T) {
+func TestNewlyOwnedTargetsCountAsCached(t *testing.T) {
 	for _, warm := range []bool{true, false} {
 		p, clock := newTestPlacer(t)
-		p.fresh = !warm
-		r := ask(call("part", 5000, 10), "c")
+		p.firstStart = !warm
+		r := promptRequest(call("part", 5000, 10), "c")
 		q := p.Queries(r)[0]
 		p.SetOwned(map[Hash]bool{q.Target: true})
 		want := 5010
@@ -113,15 +113,15 @@
 		}
 		a, _ := p.Reply(q)
 		assert.Equal(t, a.PrefillTokens, want)
-		clock.Advance(warmFor)
+		clock.Advance(assumeCachedTTL)
 		a, _ = p.Reply(q)
 		assert.Equal(t, a.PrefillTokens, 5010)
 	}
 }
 
-// TestPlainTargetsAreChosenByAnswers has one of two targets that were asked about be
+// TestPlainTargetsAreChosenByReplies has one of two targets that were asked about be
 // full of other routers' requests.
-func TestPlainTargetsAreChosenByAnswers(t *testing.T) {
+func TestPlainTargetsAreChosenByReplies(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	for range 50 {
 		r := Request{Service: "plain"}
@@ -145,12 +145,12 @@
 	return p
 }
 
-// TestFullEnginesAreWaitedForAsLongAsTheObjectiveAllows replays hot prompts on engines
+// TestFullEngineAdmitsWhatMeetsTheObjective replays hot prompts on engines
 // of 12 slots: all slots of a home are taken while it has nothing to read. Refused for
 // that alone, half of all refusals were at such homes.
-func TestFullEnginesAreWaitedForAsLongAsTheObjectiveAllows(t *testing.T) {
+func TestFullEngineAdmitsWhatMeetsTheObjective(t *testing.T) {
 	p := engines12(t)
-	r := ask(call("hot", 1000, 10), "c")
+	r := promptRequest(call("hot", 1000, 10), "c")
 	q := p.Queries(r)
 	at := func(requests int) Decision {
 		d := p.Place(r, Reply{Target: q[0].Target, Requests: requests, PrefillTokens: 10, Slowness: 1}, Reply{Target: q[1].Target, Requests: 60, PrefillTokens: 1010, Slowness: 1})
@@ -166,35 +166,35 @@
 	assert.Assert(t, full.Wait >= 50*time.Millisecond && full.Wait < 150*time.Millisecond, full.Wait)
 	far := at(24)
 	assert.Equal(t, far.Reason, Overloaded, "thirteen have to end before")
-	assert.Assert(t, far.RetryAfter > leastRetry, "the caller is told when a slot is free: %v", far.RetryAfter)
+	assert.Assert(t, far.RetryAfter > minRetryAfter, "the caller is told when a slot is free: %v", far.RetryAfter)
 }
 
-// TestManySlotsAreNoBound holds that engines with many slots are bound by what they
+// TestManySlotsDoNotLimit holds that engines with many slots are bound by what they
 // read.
-func TestManySlotsAreNoBound(t *testing.T) {
+func TestManySlotsDoNotLimit(t *testing.T) {
 	for _, slots := range []int{32, 64, 128} {
-		h := newHolds()
+		h := newSlotTime()
 		assert.Equal(t, h.untilFree(slots-1, slots), time.Duration(0))
 		assert.Assert(t, h.untilFree(slots, slots) <= time.Second/32, fmt.Sprint(slots))
 	}
 }
 
-func TestHoldsAreLearned(t *testing.T) {
-	h := newHolds()
+func TestSlotTimeIsLearned(t *testing.T) {
+	h := newSlotTime()
 	for range 100 {
 		h.learn(300 * time.Millisecond)
 	}
 	assert.Assert(t, h.mean < 320*time.Millisecond, h.mean)
 }
 
-// TestOldAnswersAreForgotten has the router that answers for full homes fall silent.
-func TestOldAnswersAreForgotten(t *testing.T) {
+// TestOldRepliesExpire has the router that answers for full homes fall silent.
+func TestOldRepliesExpire(t *testing.T) {
 	p, clock := newTestPlacer(t)
-	r := ask(call("hot", 1000, 10), "c")
+	r := promptRequest(call("hot", 1000, 10), "c")
 	q := p.Queries(r)
 	full := func(x Query) Reply { return Reply{Target: x.Target, Requests: 200, PrefillTokens: 10, Slowness: 1} }
 	assert.Equal(t, p.Place(r, full(q[0]), full(q[1])).Reason, Overloaded)
 	assert.Equal(t, p.Place(r).Reason, Overloaded, "nobody answers")
-	clock.Advance(answerFor)
+	clock.Advance(replyTTL)
 	assert.Assert(t, p.Place(r).Run != nil)
 }
--- a/place/queue.go
+++ b/place/queue.go
@@ -2,49 +2,49 @@
 
 import "time"
 
-// queue is what waits to be read at one target, as this router believes: all
-// that it and other routers sent there, less what the target must have read since.
-// Each first event tells what was read by then and sets it right.
+// prefillQueue estimates the tokens that wait for prefill at one target: all that this router and
+// the others sent there, less what the target must have prefilled since. Each first event shows
+// what was prefilled by then and corrects the estimate.
 //
-// What others announce of their requests without a first event is older than the
-// queue itself: it was off by 80 ms of waiting (root mean square of 4,454
-// placements), the queue is by 30 ms.
-type queue struct {
-	// waiting is the number of tokens as of at, sent that of all tokens so far.
-	waiting float64
+// The number of requests without a first event that other routers report is older than this
+// estimate: as a measure of the wait it was off by 80 ms (root mean square of 4,454 placements),
+// this estimate by 30 ms.
+type prefillQueue struct {
+	// pending is the number of waiting tokens as of at, sent the number of all tokens so far.
+	pending float64
 	sent    float64
 	at      time.Time
 }
 
-// drain takes off what was read until now, at so many tokens a millisecond.
-func (q *queue) drain(now time.Time, rate float64) {
+// advance subtracts the tokens that were prefilled until now at a rate in tokens per millisecond.
+func (q *prefillQueue) advance(now time.Time, rate float64) {
 	if d := now.Sub(q.at); d > 0 {
-		q.waiting = max(q.waiting-rate*millis(d), 0)
+		q.pending = max(q.pending-rate*millis(d), 0)
 		q.at = now
 	}
 }
 
-// set takes another router's word on what waits.
-func (q *queue) set(waiting int, now time.Time) {
-	q.waiting = float64(waiting)
+// set replaces the estimate by the figure of the owner.
+func (q *prefillQueue) set(waiting int, now time.Time) {
+	q.pending = float64(waiting)
 	q.at = now
 }
 
-// add notes that tokens were sent, and returns the place of the last of them.
-func (q *queue) add(tokens int) float64 {
-	q.waiting += float64(tokens)
+// add adds tokens that were sent, and returns the position of the last of them.
+func (q *prefillQueue) add(tokens int) float64 {
+	q.pending += float64(tokens)
 	q.sent += float64(tokens)
 	return q.sent
 }
 
-// reached notes that all tokens up to a place were read by now, and some after
-// them.
-func (q *queue) reached(place, after float64, now time.Time) {
-	q.waiting = max(q.sent-place-after, 0)
+// reached records that all tokens up to a position were prefilled by now, and after further
+// tokens.
+func (q *prefillQueue) reached(place, after float64, now time.Time) {
+	q.pending = max(q.sent-place-after, 0)
 	q.at = now
 }
 
-// drop takes back tokens that will not be read.
-func (q *queue) drop(tokens int) { q.waiting = max(q.waiting-float64(tokens), 0) }
+// drop removes tokens that will not be prefilled.
+func (q *prefillQueue) drop(tokens int) { q.pending = max(q.pending-float64(tokens), 0) }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/place/queue_test.go
+++ b/place/queue_test.go
@@ -12,33 +12,33 @@
 
 func TestQueueDrains(t *testing.T) {
 	start := time.Now()
-	var q queue
-	q.drain(start, 50)
+	var q prefillQueue
+	q.advance(start, 50)
 	q.add(10_000)
-	q.drain(start.Add(100*time.Millisecond), 50)
-	assert.Equal(t, q.waiting, 5000.0)
-	q.drain(start, 50)
-	assert.Equal(t, q.waiting, 5000.0, "a clock that stands still drains nothing")
-	q.drain(start.Add(time.Second), 50)
-	assert.Equal(t, q.waiting, 0.0)
+	q.advance(start.Add(100*time.Millisecond), 50)
+	assert.Equal(t, q.pending, 5000.0)
+	q.advance(start, 50)
+	assert.Equal(t, q.pending, 5000.0, "a clock that stands still drains nothing")
+	q.advance(start.Add(time.Second), 50)
+	assert.Equal(t, q.pending, 0.0)
 }
 
 func TestFirstEventSetsTheQueueRight(t *testing.T) {
-	var q queue
+	var q prefillQueue
 	place := q.add(4000)
 	q.add(9000)
 	now := time.Now()
 	q.reached(place, 2000, now)
-	assert.Equal(t, q.waiting, 7000.0, "what was sent after it waits, but for what was read meanwhile")
+	assert.Equal(t, q.pending, 7000.0, "what was sent after it waits, but for what was read meanwhile")
 	q.reached(q.sent, 2000, now)
-	assert.Equal(t, q.waiting, 0.0)
+	assert.Equal(t, q.pending, 0.0)
 }
 
 func TestRunsThatEndUnreadLeaveTheQueue(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := call("part", 0, 5000)
-	p.Place(ask(c, "c")).Run.End(Refused)
-	assert.Equal(t, p.Place(ask(c, "c")).Backlog, 0)
+	p.Place(promptRequest(c, "c")).Run.End(Refused)
+	assert.Equal(t, p.Place(promptRequest(c, "c")).Backlog, 0)
 }
 
 // engine is a target that reads prompts in order of arrival.
@@ -94,7 +94,7 @@
 }
 
 func (f *fleet) place() {
-	r := ask(call(fmt.Sprint(f.random.IntN(40)), 0, 200+f.random.IntN(3000)), "c")
+	r := promptRequest(call(fmt.Sprint(f.random.IntN(40)), 0, 200+f.random.IntN(3000)), "c")
 	r.Objective = 10 * time.Second
 	d := f.placer.Place(r)
 	if d.Run != nil {
@@ -157,7 +157,7 @@
 			assert.Assert(t, target.slow.factor(now) < 1.5, id)
 		}
 	}
-	idle := s.speed.predict(0)
+	idle := s.latency.predict(0)
 	assert.Assert(t, idle < 70*time.Millisecond, idle)
 }
 
@@ -166,20 +166,20 @@
 	var s slowness
 	assert.Equal(t, s.factor(now), 1.0)
 	for range 20 {
-		s.note(4*time.Second, time.Second, now)
+		s.record(4*time.Second, time.Second, now)
 	}
 	assert.Assert(t, s.factor(now) > 3.9 && s.factor(now) < 4.1)
 	now = now.Add(slownessHalfLife)
 	assert.Assert(t, s.factor(now) > 1.9 && s.factor(now) < 2.1, s.factor(now))
-	s.note(time.Hour, time.Second, now)
-	assert.Assert(t, s.factor(now) <= mostSlowness)
+	s.record(time.Hour, time.Second, now)
+	assert.Assert(t, s.factor(now) <= maxSlowness)
 }
 
 // TestHiddenQueuesDoNotMoveTheLineMuch has first events that come late for
 // reasons the router cannot see, as after all routers started anew.
 func TestHiddenQueuesDoNotMoveTheLineMuch(t *testing.T) {
-	s := newSpeed()
-	s.guess(47_000)
+	s := newLatencyEstimator()
+	s.setStatedSpeed(47_000)
 	before := s.predict(0)
 	for range 40 {
 		s.learn(2000, 900*time.Millisecond)
--- a/place/regions.go
+++ b/place/regions.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// hasTargetFor reports whether a service has a target in a region in which a request may
-// run. Without one the request is refused under a name of its own: no target that comes
-// back elsewhere can serve it.
+// hasTargetFor reports whether a service has a target in a region in which a request may run.
+// Without one the request is refused for a separate reason: no target that recovers in another
+// region can serve it.
 func (s *service) hasTargetFor(r *Request) bool {
 	if r.Regions == nil {
 		return true
--- a/place/regions_test.go
+++ b/place/regions_test.go
@@ -10,13 +10,13 @@
 	"zinccove.example/zinccove/roster"
 )
 
-// newRegionsSite is a placer before engines that copy and plain targets, a third of them in
+// newRegionsFixture is a placer before engines that copy and plain targets, a third of them in
 // each of three data centres; x and y are in the west, z is in the east.
-func newRegionsSite(t *testing.T) *copyingSite {
+func newRegionsFixture(t *testing.T) *copyFixture {
 	t.Helper()
 	clock := clockwork.NewFakeClock()
 	p := New(Options{Clock: clock, Regions: map[string]string{"x": "west", "y": "west", "z": "east"}})
-	s := &copyingSite{Placer: p, clock: clock, list: append(targets("model", 9), targets("plain", 3)...), table: table(t)}
+	s := &copyFixture{Placer: p, clock: clock, list: append(targets("model", 9), targets("plain", 3)...), table: table(t)}
 	for i, x := range s.list {
 		x.DataCentre = []string{"x", "y", "z"}[i%3]
 	}
@@ -25,14 +25,14 @@
 	return s
 }
 
-// in binds a request to regions.
-func in(r Request, regions ...string) Request {
+// inRegions binds a request to regions.
+func inRegions(r Request, regions ...string) Request {
 	r.Regions = append([]string{}, regions...)
 	return r
 }
 
-func callOf(customer string) Request {
-	r := ask(call("part", 0, 1), customer)
+func plainRequest(customer string) Request {
+	r := promptRequest(call("part", 0, 1), customer)
 	r.Service = "plain"
 	return r
 }
@@ -40,9 +40,9 @@
 // TestRequestsStayInTheirRegions places prompts of all homes and plain calls, each with a
 // second attempt, also while the targets of the only data centre are all that is left.
 func TestRequestsStayInTheirRegions(t *testing.T) {
-	s := newRegionsSite(t)
+	s := newRegionsFixture(t)
 	for i := range 60 {
-		for _, r := range []Request{in(ask(call(fmt.Sprint(i), 1000, 10), "c"), "east"), in(callOf("c"), "east")} {
+		for _, r := range []Request{inRegions(promptRequest(call(fmt.Sprint(i), 1000, 10), "c"), "east"), inRegions(plainRequest("c"), "east")} {
 			for range 2 {
 				for _, q := range s.Queries(r) {
 					assert.Equal(t, s.byHash[q.Target].DataCentre, "z", "nobody else is asked")
@@ -62,8 +62,8 @@
 // TestNothingIsCopiedFromAnotherRegion has the home of a prompt leave, whose parts are in a
 // region in which the request may not run.
 func TestNothingIsCopiedFromAnotherRegion(t *testing.T) {
-	s := newRegionsSite(t)
-	anywhere := ask(call("part", copiedTokens, ownTokens), "c")
+	s := newRegionsFixture(t)
+	anywhere := promptRequest(call("part", copiedTokens, ownTokens), "c")
 	run := s.Place(anywhere).Run
 	run.FirstEvent(false)
 	run.End(Answered)
@@ -78,7 +78,7 @@
 	}
 	s.update()
 	assert.Equal(t, s.Place(anywhere).CopyFrom, run.Target.Address)
-	d := s.Place(in(anywhere, other))
+	d := s.Place(inRegions(anywhere, other))
 	assert.Assert(t, d.Run != nil)
 	assert.Assert(t, !d.CopyFrom.IsValid(), "copied from %s", d.CopyFrom)
 }
@@ -86,7 +86,7 @@
 // TestRequestsWithoutAnAllowedTargetAreRefusedAtOnce names regions without targets of the
 // service, one that no data centre is in, and none at all.
 func TestRequestsWithoutAnAllowedTargetAreRefusedAtOnce(t *testing.T) {
-	s := newRegionsSite(t)
+	s := newRegionsFixture(t)
 	for _, regions := range [][]string{{"nowhere"}, {}, {"east"}} {
 		list := s.list
 		if len(regions) == 1 && regions[0] == "east" {
@@ -98,7 +98,7 @@
 			}
 			s.update()
 		}
-		for _, r := range []Request{in(ask(call("part", 100, 10), "c"), regions...), in(callOf("c"), regions...)} {
+		for _, r := range []Request{inRegions(promptRequest(call("part", 100, 10), "c"), regions...), inRegions(plainRequest("c"), regions...)} {
 			d := s.Place(r)
 			assert.Assert(t, d.Run == nil)
 			assert.Equal(t, d.Reason, NotAllowed, "%v", regions)
@@ -110,10 +110,10 @@
 // TestTargetsOfUnknownDataCentresServeOnlyUnboundRequests has a data centre of which the
 // settings say no region.
 func TestTargetsOfUnknownDataCentresServeOnlyUnboundRequests(t *testing.T) {
-	s := newRegionsSite(t)
+	s := newRegionsFixture(t)
 	s.list = []*roster.Target{{ID: "new", Service: "plain", Slots: 4, DataCentre: "unknown", Address: s.list[0].Address}}
 	s.update()
-	assert.Assert(t, s.Place(callOf("c")).Run != nil)
-	assert.Equal(t, s.Place(in(callOf("c"), "west")).Reason, NotAllowed)
-	assert.Equal(t, s.Place(in(callOf("c"), "")).Reason, NotAllowed)
+	assert.Assert(t, s.Place(plainRequest("c")).Run != nil)
+	assert.Equal(t, s.Place(inRegions(plainRequest("c"), "west")).Reason, NotAllowed)
+	assert.Equal(t, s.Place(inRegions(plainRequest("c"), "")).Reason, NotAllowed)
 }
--- a/place/restart_test.go
+++ b/place/restart_test.go
@@ -9,9 +9,9 @@
 	"zinccove.example/zinccove/roster"
 )
 
-// startAgain returns the list of targets in which all of a service started again under
+// restarted returns the list of targets in which all of a service started again under
 // their ids.
-func startAgain(list []*roster.Target) []*roster.Target {
+func restarted(list []*roster.Target) []*roster.Target {
 	var again []*roster.Target
 	for _, t := range list {
 		next := *t
@@ -22,14 +22,14 @@
 	return again
 }
 
-// TestTargetThatStartsAgainKnowsNothingOfBefore has everything said of a run of a target
+// TestRestartedTargetHasNoEarlierState has everything said of a run of a target
 // that can be, and the target start again under its id.
-func TestTargetThatStartsAgainKnowsNothingOfBefore(t *testing.T) {
+func TestRestartedTargetHasNoEarlierState(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	list := targets("model", 1)
 	list[0].Started = time.Unix(1, 0)
 	p.SetTargets(list, table(t))
-	r := ask(call("part", 5_000, 10), "c")
+	r := promptRequest(call("part", 5_000, 10), "c")
 	before := p.Place(r)
 	sent := p.Place(r)
 	clock.Advance(10 * time.Second)
@@ -38,7 +38,7 @@
 	}
 	p.Place(r).Run.End(Replaced)
 	assert.Equal(t, p.Place(r).Reason, NoTarget)
-	p.SetTargets(startAgain(list), table(t))
+	p.SetTargets(restarted(list), table(t))
 	assert.Assert(t, before.Run.Unavailable(), "what was not sent yet goes to no other run")
 	r.Tried = []string{before.Run.Target.Incarnation()}
 	after := p.Place(r)
@@ -57,19 +57,19 @@
 	assert.Equal(t, next.Backlog, 5_010)
 }
 
-// TestRouterThatAnswersForANewRunTakesItForEmpty has a target start in a fleet that
+// TestOwnerTreatsNewIncarnationAsEmpty has a target start in a fleet that
 // runs. The router that answers for it would else expect it to keep all prompts.
-func TestRouterThatAnswersForANewRunTakesItForEmpty(t *testing.T) {
+func TestOwnerTreatsNewIncarnationAsEmpty(t *testing.T) {
 	p, clock := newTestPlacer(t)
-	p.fresh = false
+	p.firstStart = false
 	list := targets("model", 1)
 	list[0].Started = time.Unix(1, 0)
 	p.SetTargets(list, table(t))
 	clock.Advance(time.Minute)
-	again := startAgain(list)
+	again := restarted(list)
 	p.SetTargets(again, table(t))
 	p.SetOwned(map[Hash]bool{HashOf(again[0].Incarnation()): true})
-	q := p.Queries(ask(call("part", 5_000, 10), "c"))[0]
+	q := p.Queries(promptRequest(call("part", 5_000, 10), "c"))[0]
 	a, ok := p.Reply(q)
 	assert.Assert(t, ok)
 	assert.Equal(t, a.PrefillTokens, 5_010)
--- a/place/run.go
+++ b/place/run.go
@@ -6,18 +6,18 @@
 	"zinccove.example/zinccove/roster"
 )
 
-// begin counts a run at a target, and what its customer asks for and is served by it.
+// begin counts a run at a target, and the usage that its customer requests and is served by it.
 func (p *Placer) begin(t *target, r Request, d Decision, asks, served Usage, now time.Time) Decision {
-	use := asked(r, asks)
+	use := firstAttemptUsage(r, asks)
 	use.add(served, 1)
-	p.note(r.Customer, use, now)
+	p.recordUsage(r.Customer, use, now)
 	before := t.outstanding()
 	t.own.Requests++
 	p.loadChanged(t)
 	d.Run = &Run{
-		Target: t.Target, placer: p, state: t, before: before, customer: HashOf(r.Customer), served: served,
-		unread: d.PrefillTokens, copying: p.service(t.Service).copying(d.CopiedTokens), toRead: d.Backlog + d.PrefillTokens,
-		place: t.queue.add(d.PrefillTokens), predicted: d.Predicted, began: now,
+		Target: t.Target, placer: p, state: t, outstandingBefore: before, customer: HashOf(r.Customer), served: served,
+		prefillTokens: d.PrefillTokens, copyTime: p.service(t.Service).copyTime(d.CopiedTokens), tokensBeforeEvent: d.Backlog + d.PrefillTokens,
+		position: t.queue.add(d.PrefillTokens), predicted: d.Predicted, start: now,
 	}
 	return d
 }
@@ -28,103 +28,102 @@
 
 	placer *Placer
 	state  *target
-	// unread is the number of tokens that the target has to read for the run; 0
-	// after the first event. ToRead are those that were to be read before the first
-	// event, place is the run's in the queue.
-	unread int
-	toRead int
-	// copying is the time that copying parts of the prompt was to take.
-	copying   time.Duration
-	place     float64
+	// prefillTokens is the number of tokens that the target has to prefill for the run; 0 after
+	// the first event. tokensBeforeEvent is the number of tokens that had to be prefilled before
+	// the first event, position the run's position in the queue.
+	prefillTokens     int
+	tokensBeforeEvent int
+	// copyTime is the predicted time to copy parts of the prompt.
+	copyTime  time.Duration
+	position  float64
 	predicted time.Duration
-	// before is the number of requests that the target had when it was chosen.
-	before int
-	// number names the run among the readings of this router; 0 for plain services.
+	// outstandingBefore is the number of requests that the target had when it was chosen.
+	outstandingBefore int
+	// number identifies the run among the prefills of this router; 0 for plain services.
 	number uint32
-	// first is when the first event came.
+	// first is when the first event was received.
 	first time.Time
-	// customer and served are whom the run counts as service for, and how much.
+	// customer is the hash of the customer whose usage counts the run, served the usage counted.
 	customer Hash
 	served   Usage
-	began    time.Time
+	start    time.Time
 	ended    bool
-	// OnEnd is called when the run ended, if it is set.
+	// OnEnd, if set, is called when the run ends.
 	OnEnd func()
 }
 
-// Incarnation names the run of the target that was chosen.
+// Incarnation returns the incarnation of the chosen target.
 func (r *Run) Incarnation() string { return r.state.incarnation }
 
-// Unavailable reports whether the target takes no new requests any more: its entry or it
-// itself said so, it went, was found replaced, is to be evacuated or asked for a backoff
-// since it was chosen.
+// Unavailable reports whether the target stopped accepting new requests since it was chosen: its
+// entry or the target itself announced that it is draining, it was removed, replaced by another
+// incarnation or evacuated, or it asked for a backoff.
 func (r *Run) Unavailable() bool {
 	p := r.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	t := p.targets[r.state.incarnation]
-	return t == nil || p.leaves(t) || t.backsOff(p.clock.Now())
+	return t == nil || p.closedToNew(t) || t.inBackoff(p.clock.Now())
 }
 
-// FirstEvent notes that the target has read the prompt. It returns how far off
-// the expected time was; known is false if it was noted before. Telling is false if
-// this router is behind itself, so that its time says nothing of the target.
-func (r *Run) FirstEvent(telling bool) (off time.Duration, known bool) {
+// FirstEvent records that the target has prefilled the prompt. It returns the error of the
+// predicted time; known is false if the event was recorded before. Pass false for reliable if
+// this router itself is running late, so that its time says nothing about the target.
+func (r *Run) FirstEvent(reliable bool) (off time.Duration, known bool) {
 	p := r.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if r.unread == 0 {
+	if r.prefillTokens == 0 {
 		return 0, false
 	}
 	now := p.clock.Now()
-	took := now.Sub(r.began)
+	took := now.Sub(r.start)
 	r.first = now
-	r.state.took()
-	if telling {
+	r.state.recordAccepted()
+	if reliable {
 		r.learn(took, now)
 	}
-	r.unread = 0
+	r.prefillTokens = 0
 	return (took - r.predicted).Abs(), true
 }
 
-// learn learns from the time of the first event, and lets the router learn from it
-// that answers for the target.
+// learn learns from the time of the first event, and queues the event for the target's owner.
 func (r *Run) learn(took time.Duration, now time.Time) {
 	p := r.placer
-	took = max(took-r.copying, 0)
+	took = max(took-r.copyTime, 0)
 	s := p.service(r.Target.Service)
-	r.state.slow.note(took, s.speed.predict(r.toRead), now)
-	s.speed.learn(r.toRead, took)
-	r.state.queue.reached(r.place, s.speed.after(), now)
-	if r.number > 0 && len(p.news.FirstEvents) < maxNews {
-		p.news.FirstEvents = append(p.news.FirstEvents, FirstEvent{Target: r.state.hash, Number: r.number, Latency: took, PrefillTokens: r.toRead})
+	r.state.slow.record(took, s.latency.predict(r.tokensBeforeEvent), now)
+	s.latency.learn(r.tokensBeforeEvent, took)
+	r.state.queue.reached(r.position, s.latency.tokensDuringBase(), now)
+	if r.number > 0 && len(p.update.FirstEvents) < maxUpdateEntries {
+		p.update.FirstEvents = append(p.update.FirstEvents, FirstEvent{Target: r.state.hash, Number: r.number, Latency: took, PrefillTokens: r.tokensBeforeEvent})
 	}
 }
 
-// Result is how a run ended, as far as it tells about the target.
+// Result is the outcome of a run as far as it concerns the target.
 type Result int
 
 // The results.
 const (
-	// Answered: the target answered.
+	// Answered: the target sent a complete response.
 	Answered Result = iota
-	// ErrorResponse: the target answered with a failure of its own.
+	// ErrorResponse: the target responded with an error of its own.
 	ErrorResponse
-	// Refused: the target said that it does not run the request.
+	// Refused: the target refused to run the request.
 	Refused
 	// Unreachable: the target could not be reached, so nothing was sent.
 	Unreachable
-	// Failed: the target broke off.
+	// Failed: the target did not complete its response.
 	Failed
-	// Replaced: another run of the target answered, so this one has ended.
+	// Replaced: another incarnation of the target responded, so this one has ended.
 	Replaced
-	// NotSent: nothing was sent, for reasons that say nothing of the target.
+	// NotSent: nothing was sent, for reasons unrelated to the target.
 	NotSent
-	// Cancelled: the run was ended for reasons that say nothing of the target.
+	// Cancelled: the run was ended for reasons unrelated to the target.
 	Cancelled
 )
 
-// didNotRun reports whether a run that ended so has provably not run.
+// didNotRun reports whether a run with this result has provably not run.
 func (r Result) didNotRun() bool {
 	switch r {
 	case Refused, Unreachable, Replaced, NotSent:
@@ -133,18 +132,18 @@
 	return false
 }
 
-// learnHold learns from the time that an answered request took.
-func (r *Run) learnHold(now time.Time) {
+// learnSlotTime learns from the time that an answered request took.
+func (r *Run) learnSlotTime(now time.Time) {
 	s := r.placer.service(r.Target.Service)
 	switch {
 	case s.engine == nil:
-		s.holds.learnAmong(now.Sub(r.began), r.before, r.Target.Slots)
+		s.slotTime.learnQueued(now.Sub(r.start), r.outstandingBefore, r.Target.Slots)
 	case !r.first.IsZero():
-		s.holds.learn(now.Sub(r.began))
+		s.slotTime.learn(now.Sub(r.start))
 	}
 }
 
-// End ends the run. Only the first call counts.
+// End ends the run. Only the first call has an effect.
 func (r *Run) End(result Result) {
 	p := r.placer
 	p.mu.Lock()
@@ -156,21 +155,21 @@
 	if r.OnEnd != nil {
 		r.OnEnd()
 	}
-	r.state.queue.drop(r.unread)
-	r.unread = 0
+	r.state.queue.drop(r.prefillTokens)
+	r.prefillTokens = 0
 	r.state.own.Requests--
 	p.loadChanged(r.state)
 	now := p.clock.Now()
 	if result == Answered {
-		r.learnHold(now)
+		r.learnSlotTime(now)
 		if r.first.IsZero() {
-			r.state.took()
+			r.state.recordAccepted()
 		}
 	}
 	if result.didNotRun() {
-		p.takeBack(r.customer, r.served, r.began, now)
+		p.refundUsage(r.customer, r.served, r.start, now)
 	}
 	r.state.replaced = r.state.replaced || result == Replaced
-	r.state.circuit.note(result, now)
-	r.state.health.note(result, now)
+	r.state.circuit.record(result, now)
+	r.state.health.record(result, now)
 }
--- a/place/shares.go
+++ b/place/shares.go
@@ -5,76 +5,76 @@
 	"time"
 )
 
-// shares are the customers' uses over all routers and two max-min levels: the
-// most that a customer can have so that all together have a certain amount, and
-// none is cut that asks for less.
+// shares compares the customers' usage over all routers by two max-min levels. A max-min level is
+// the maximum for each customer at which all customers together get a given amount, and no
+// customer that requests less is limited.
 type shares struct {
-	at   time.Time
-	uses map[Hash]Usage
-	// owed is the level for what the engines are stated to carry, or for what they
-	// serve if that is less; even is the level for what they serve. Engines that
-	// keep prompts serve about twice what is stated, so that a customer up to its
-	// owed level can have room at once while those above share what is left.
-	owed, even int
-	// asked is what all customers ask for.
-	asked int
-	// pressed tells that more is asked for than is served.
-	pressed bool
-	// contested tells that customers up to the even level go short. The even level
-	// follows from what is served: were customers above it refused by idle engines also
-	// where nobody else goes short, nothing would ever raise it. 1,000 engines with
-	// nothing to do refused 46 of 100 requests so, and 140 that all routers came back to
-	// after a loss of power 1,000 a second of 1,700 for three seconds, as large customers
-	// had the most callers to come back at once.
+	at    time.Time
+	usage map[Hash]Usage
+	// owedLevel is the level for the stated capacity of the engines, or for what they serve if
+	// that is less; evenLevel is the level for what they serve. Engines with cached prefixes
+	// serve about twice the stated capacity, so that a customer up to its owed level gets
+	// capacity immediately while those above it share the rest.
+	owedLevel, evenLevel int
+	// requested is what all customers request together.
+	requested int
+	// oversubscribed reports whether more is requested than served.
+	oversubscribed bool
+	// contested reports whether customers up to the even level are starved. The even level
+	// follows from what is served: if idle engines refused customers above it also while no other
+	// customer is starved, the level could never rise. In such cases 1,000 idle engines refused
+	// 46 of 100 requests, and 140 engines to which all routers returned after a power loss
+	// refused 1,000 of 1,700 requests a second for three seconds, as large customers had the most
+	// callers that returned at once.
 	contested bool
 	// calls compares the customers by their calls of plain services.
 	calls callShares
 }
 
-// sharesFor is how long computed shares are used.
-const sharesFor = 50 * time.Millisecond
+// sharesTTL is the time for which computed shares are used.
+const sharesTTL = 50 * time.Millisecond
 
-// pressedPart is the part of what is asked that must be refused or late before
-// shares bind.
-const pressedPart = 0.02
+// oversubscribedShare is the share of the requested amount that must be refused or late before
+// shares take effect.
+const oversubscribedShare = 0.02
 
 func (p *Placer) currentShares(now time.Time) *shares {
-	if now.Sub(p.shares.at) < sharesFor && p.shares.uses != nil {
+	if now.Sub(p.shares.at) < sharesTTL && p.shares.usage != nil {
 		return &p.shares
 	}
 	uses := p.ownUses(now)
-	if p.totals != nil && now.Sub(p.totals.AsOf) < totalsFor {
-		uses = p.totals.compared(uses)
+	if p.totals != nil && now.Sub(p.totals.AsOf) < totalsTTL {
+		uses = p.totals.comparableUsage(uses)
 	} else {
-		useSums(uses).add(p.othersUses)
+		useSums(uses).add(p.othersUsage)
 	}
-	p.shares = computeShares(uses, p.stated)
+	p.shares = computeShares(uses, p.statedCapacity)
 	p.shares.at = now
 	return &p.shares
 }
 
-// computeShares compares customers by their uses. Stated is what the engines
-// carry in the window, in tokens; 0 if nobody says.
+// computeShares compares customers by their usage. Stated is the capacity of the engines in the
+// window, in tokens; 0 if none is stated.
 func computeShares(uses map[Hash]Usage, stated int) shares {
 	tokens := demandOf(uses, func(u Usage) (asked, served int) { return u.Requested, u.Served })
-	s := shares{uses: uses, asked: tokens.asked, pressed: tokens.pressed(), even: tokens.level(tokens.served)}
-	s.owed = s.even
+	s := shares{usage: uses, requested: tokens.asked, oversubscribed: tokens.oversubscribed(), evenLevel: tokens.level(tokens.served)}
+	s.owedLevel = s.evenLevel
 	if stated > 0 {
-		s.owed = tokens.level(min(tokens.served, stated))
+		s.owedLevel = tokens.level(min(tokens.served, stated))
 	}
-	s.contested = s.othersGoShort()
+	s.contested = s.othersStarved()
 	s.calls = compareCalls(uses)
 	return s
 }
 
-// demand is what customers ask for and are served of one thing.
+// demand is what customers request and are served of one resource.
 type demand struct {
-	// wants are what each of them asks for, in rising order.
+	// wants are the requested amounts of the customers in ascending order.
 	wants         []int
 	asked, served int
 }
 
-// demandOf sums up uses; of returns the part of a use that counts.
+// demandOf sums up usage; of returns the part of a usage that counts.
 func demandOf(uses map[Hash]Usage, of func(Usage) (asked, served int)) demand {
 	d := demand{wants: make([]int, 0, len(uses))}
 	for _, u := range uses {
@@ -87,36 +87,37 @@
 	return d
 }
 
-// pressed reports whether more is asked for than is served.
-func (d *demand) pressed() bool { return float64(d.asked-d.served) > float64(d.asked)*pressedPart }
+// oversubscribed reports whether more is requested than served.
+func (d *demand) oversubscribed() bool {
+	return float64(d.asked-d.served) > float64(d.asked)*oversubscribedShare
+}
 
-// level is the max-min level at which the customers share an amount.
+// level returns the max-min level at which the customers share an amount.
 func (d *demand) level(amount int) int { return levelOf(d.wants, amount) }
 
 const (
-	// shortPart is the part of what a customer up to the even level asks for, at most of
-	// that level, without which it counts as short. A customer has to get half of what it
-	// asks for or of what the best served one gets, whichever is less.
-	shortPart = 0.45
-	// leastShort is the least that it has to lack as a part of the even level: customers
-	// that ask for little lack a quarter of it by one refusal.
-	leastShort = 0.125
+	// starvedShare is the largest share of its request, up to the even level, that a customer up
+	// to that level may lack without counting as starved. So a customer has to get about half of
+	// what it requests or of what the best served one gets, whichever is less.
+	starvedShare = 0.45
+	// minStarvedShare is the minimum amount that a starved customer lacks, as a share of the even
+	// level: customers that request little lack a quarter of their request after one refusal.
+	minStarvedShare = 0.125
 )
 
-// othersGoShort reports whether a customer up to the even level gets less than it asks
-// for.
-func (s *shares) othersGoShort() bool {
-	for _, u := range s.uses {
-		want := float64(min(u.Requested, s.even))
+// othersStarved reports whether a customer up to the even level gets much less than it requests.
+func (s *shares) othersStarved() bool {
+	for _, u := range s.usage {
+		want := float64(min(u.Requested, s.evenLevel))
 		lacks := want - float64(u.Served)
-		if u.Served <= s.even && lacks > shortPart*want && lacks > leastShort*float64(s.even) {
+		if u.Served <= s.evenLevel && lacks > starvedShare*want && lacks > minStarvedShare*float64(s.evenLevel) {
 			return true
 		}
 	}
 	return false
 }
 
-// levelOf is the max-min level at which wants, in rising order, share an amount.
+// levelOf returns the max-min level at which wants, in ascending order, share an amount.
 func levelOf(wants []int, amount int) int {
 	level := 0
 	for i, want := range wants {
@@ -130,10 +131,9 @@
 	return level
 }
 
-// usual is the part of the usual limit for a customer that is not above its
-// share.
-func (s *shares) usual(u Usage) float64 {
-	switch even := s.asked / max(len(s.uses), 1); {
+// sizeFactor returns the factor on the usual limit for a customer that is not above its share.
+func (s *shares) sizeFactor(u Usage) float64 {
+	switch even := s.requested / max(len(s.usage), 1); {
 	case u.Requested > heavyRatio*even:
 		return heavyFactor
 	case u.Requested < even/lightRatio:
@@ -142,45 +142,45 @@
 	return 1
 }
 
-// standing is how a customer stands to its share.
+// standing is the position of a customer relative to its share.
 type standing struct {
-	// part is the part of the usual limit that it has.
-	part float64
-	// above tells that it has more than it is owed, ahead that it also has more than
-	// an even part of what is served.
+	// limitFactor is the factor on the usual limit for the customer.
+	limitFactor float64
+	// above reports whether the customer has more than it is owed, ahead whether it also has more
+	// than an even part of what is served.
 	above, ahead bool
-	// contested tells that others that have less are refused.
+	// contested reports whether others that have less are starved.
 	contested bool
 }
 
-// standing finds how a customer stands. Up to the owed level it has the usual
-// limit, above it less by the square of the ratio, and by the square again above
-// the even level. Limits that shrink from the owed level on keep waits short for
-// customers within their shares: their mean part of requests answered in time rose
-// from 0.84 to 0.89 on days with trouble (18 days, three seeds).
+// standing computes the standing of a customer. Up to the owed level it has the usual limit.
+// Above that level the limit is multiplied by the square of the ratio, and above the even level
+// once more by the square of that ratio. Limits that shrink from the owed level on keep waits
+// short for customers within their shares: their mean share of requests answered in time rose
+// from 0.84 to 0.89 on simulated days with failures (18 days, three seeds).
 //
-// Above the even level no least limit holds. With one, two customers that flooded
-// got service by how often they asked: one of them 0.94 of 3.0 million tokens, beside
-// 3.8 million. Without it they get 1.8 and 2.5 million (nine routers, simulated for
-// six seconds); with no limit at all above the even level 1.6 and 2.1, and engines
+// Above the even level no minimum limit applies. With one, two customers that sent floods of
+// requests were served by how often they requested: one of them got 0.94 of 3.0 million tokens,
+// the other 3.8 million. Without it they get 1.8 and 2.5 million (nine routers, simulated for six
+// seconds). With a limit of zero above the even level they get 1.6 and 2.1 million, and engines
 // are idle.
 func (s *shares) standing(customer string) standing {
-	u := s.uses[HashOf(customer)]
-	st := standing{part: s.usual(u)}
-	if !s.pressed || u.Served <= s.owed {
+	u := s.usage[HashOf(customer)]
+	st := standing{limitFactor: s.sizeFactor(u)}
+	if !s.oversubscribed || u.Served <= s.owedLevel {
 		return st
 	}
 	st.above = true
-	st.part = max(min(squared(s.owed, u.Served), st.part), leastFactor)
-	if u.Served > s.even {
+	st.limitFactor = max(min(squared(s.owedLevel, u.Served), st.limitFactor), minFactor)
+	if u.Served > s.evenLevel {
 		st.ahead = true
 		st.contested = s.contested
-		st.part *= squared(s.even, u.Served)
+		st.limitFactor *= squared(s.evenLevel, u.Served)
 	}
 	return st
 }
 
-// squared is the square of a ratio.
+// squared returns the square of a ratio.
 func squared(a, b int) float64 {
 	ratio := float64(a) / float64(b)
 	return ratio * ratio
--- a/place/shares_bench_test.go
+++ b/place/shares_bench_test.go
@@ -22,7 +22,7 @@
 		p.ApplyReport(fmt.Sprint(i), Report{Usage: uses})
 	}
 	for b.Loop() {
-		clock.Advance(sharesFor + time.Millisecond)
+		clock.Advance(sharesTTL + time.Millisecond)
 		p.currentShares(clock.Now())
 	}
 }
--- a/place/slot_time.go
+++ b/place/slot_time.go
@@ -2,51 +2,51 @@
 
 import "time"
 
-// holds is how long requests hold a slot of a target. With few slots an engine can be
-// full while it has nothing to read: on engines of 12 slots half of all refusals were at
-// such homes, and only some of them would have waited long.
-type holds struct {
-	// mean is the mean time of recent requests.
+// slotTime is the time for which requests hold a slot of a target. An engine with few slots can
+// be full while no tokens wait for prefill: on engines with 12 slots half of all refusals were at
+// such homes, and only some of those requests would have waited long.
+type slotTime struct {
+	// mean is the weighted mean of recent requests.
 	mean time.Duration
-	// learned counts the calls of a plain service that the mean was learned from.
-	learned int
+	// samples is the number of calls of a plain service from which the mean was learned.
+	samples int
 }
 
-func newHolds() holds { return holds{mean: guessHold} }
+func newSlotTime() slotTime { return slotTime{mean: defaultSlotTime} }
 
 // known reports whether the mean was learned.
-func (h *holds) known() bool { return h.learned > 0 }
+func (h *slotTime) known() bool { return h.samples > 0 }
 
 const (
-	// holdWeight is the weight of one request in the mean.
-	holdWeight = 0.05
-	// guessHold is assumed before any request ended.
-	guessHold = time.Second
+	// slotTimeWeight is the weight of one request in the mean.
+	slotTimeWeight = 0.05
+	// defaultSlotTime is assumed before any request has ended.
+	defaultSlotTime = time.Second
 )
 
-// learn takes the time for which a request held a slot.
-func (h *holds) learn(took time.Duration) { h.weigh(took, holdWeight) }
+// learn adds the time for which a request held a slot.
+func (h *slotTime) learn(took time.Duration) { h.weigh(took, slotTimeWeight) }
 
-// weigh moves the mean towards a time by a part of the distance.
-func (h *holds) weigh(took time.Duration, weight float64) {
+// weigh moves the mean towards a time by a share of the distance.
+func (h *slotTime) weigh(took time.Duration, weight float64) {
 	h.mean += time.Duration(weight * float64(took-h.mean))
 }
 
-// learnAmong takes the time that a request spent at a target where so many were before
-// it, waiting for a slot included. By Little's law it is the time of a slot as often as
-// requests share one. The first ones weigh as much as all before them: a guess that is
-// too long refuses much.
-func (h *holds) learnAmong(took time.Duration, before, slots int) {
+// learnQueued adds the time that a request spent at a target with before earlier requests,
+// including the wait for a slot. By Little's law this time is the slot time multiplied by the
+// number of requests that share a slot. Each of the first samples weighs as much as all earlier
+// ones together, because a default that is too long refuses many requests.
+func (h *slotTime) learnQueued(took time.Duration, before, slots int) {
 	if slots > 0 && before >= slots {
 		took = took * time.Duration(slots) / time.Duration(before+1)
 	}
-	h.learned++
-	h.weigh(took, max(holdWeight, 1/float64(h.learned)))
+	h.samples++
+	h.weigh(took, max(slotTimeWeight, 1/float64(h.samples)))
 }
 
-// untilFree is the expected time until a slot is free for one more request: each of
-// the requests before it has to wait for one of those that run to end.
-func (h *holds) untilFree(outstanding, slots int) time.Duration {
+// untilFree returns the expected time until a slot is free for one more request: each of the
+// requests before it has to wait for a running request to end.
+func (h *slotTime) untilFree(outstanding, slots int) time.Duration {
 	before := outstanding - slots + 1
 	if slots <= 0 || before <= 0 {
 		return 0
--- a/place/targets.go
+++ b/place/targets.go
@@ -13,11 +13,11 @@
 type service struct {
 	targets []*target
 	engine  *route.Engine
-	speed   *speed
-	// coldRate is the number of requests a second that a cold target bears; 0 if it
-	// bears as many as others.
-	coldRate float64
-	holds    holds
+	latency *latencyEstimator
+	// warmUpRate is the number of requests a second that a target can serve while it is warming
+	// up; 0 if it can serve as many as others.
+	warmUpRate float64
+	slotTime   slotTime
 }
 
 // target is the state of one target.
@@ -26,52 +26,51 @@
 	*roster.Target
 
 	hash Hash
-	// seed makes the target's weights in rendezvous hashing.
+	// seed determines the target's weights in rendezvous hashing.
 	seed uint64
 	// region is that of the data centre, "" if it is not known.
 	region string
 	own    Load
-	// others is the sum of what other routers announced.
+	// others is the sum of the loads that other routers reported.
 	others  Load
 	circuit circuit
 	health  health
-	kept    kept
-	queue   queue
+	cache   prefixCache
+	queue   prefillQueue
 	slow    slowness
-	// incarnation names the run of the target that this state is of.
+	// incarnation is the incarnation of the target to which this state belongs.
 	incarnation string
-	// place is that in the list of its service.
-	place int
-	// late tells that the target started after this router had learned of others, so
-	// that it keeps nothing which this router does not know of.
-	late bool
-	// replaced is set once another run of the target answered: this one has ended,
-	// also if its entry says nothing of it yet.
+	// index is the position in the list of the service.
+	index int
+	// startedLater is set if the target started after this router had received a list of targets,
+	// so that it can only have cached what this router knows about.
+	startedLater bool
+	// replaced is set once another incarnation of the target responded: this one has ended, even
+	// if its entry does not say so yet.
 	replaced bool
-	// noticed is what the target said of itself, nil if nothing.
-	noticed *noticed
-	// coldUntil is until when the target is cold.
-	coldUntil time.Time
-	// warmUntil is until when parts of which nothing is known count as kept.
-	warmUntil time.Time
-	// told is when others were told of own, answered when another router last said how
-	// things are here.
-	told     time.Time
-	answered time.Time
-	// awaited are the places in the queue of other routers' readings without a first
-	// event.
-	awaited map[readingID]float64
-}
-
-func (t *target) warm(now time.Time) bool { return now.Before(t.warmUntil) }
+	// announced is what the target announced about itself, nil if nothing.
+	announced *announcement
+	// warmUpUntil is the end of the target's warm-up.
+	warmUpUntil time.Time
+	// assumeCachedUntil is the time until which unknown parts count as cached.
+	assumeCachedUntil time.Time
+	// loadReportedAt is when own was last sent to other routers, repliedAt when the owner last
+	// replied to a query about this target.
+	loadReportedAt time.Time
+	repliedAt      time.Time
+	// awaitedPrefills are the queue positions of other routers' prefills without a first event.
+	awaitedPrefills map[prefillID]float64
+}
+
+func (t *target) assumesCached(now time.Time) bool { return now.Before(t.assumeCachedUntil) }
 
 func (t *target) outstanding() int { return t.own.Requests + t.others.Requests }
 
-// backlog is the number of tokens that wait to be read at a target, which takes so
-// much longer than others.
+// backlog returns the number of tokens that wait for prefill at a target, which takes longer than
+// others by the factor slow.
 func (s *service) backlog(t *target, slow float64, now time.Time) int {
-	t.queue.drain(now, s.speed.rate()/slow)
-	return int(t.queue.waiting)
+	t.queue.advance(now, s.latency.rate()/slow)
+	return int(t.queue.pending)
 }
 
 // Load is the work of one router at one target.
@@ -80,8 +79,8 @@
 	Requests int
 }
 
-// SetTargets takes the list of targets and the services they belong to. What is known
-// of a target belongs to one incarnation of it.
+// SetTargets sets the list of targets and the services they belong to. The state of a target
+// belongs to one incarnation of it.
 func (p *Placer) SetTargets(list []*roster.Target, table *route.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,27 +88,27 @@
 	for _, entry := range list {
 		listed[entry.Incarnation()] = true
 	}
-	var gone []string
+	var removed []string
 	for incarnation := range p.targets {
 		if !listed[incarnation] {
-			gone = append(gone, incarnation)
+			removed = append(removed, incarnation)
 		}
 	}
-	p.change(list, gone, table)
+	p.applyTargets(list, removed, table)
 }
 
-// ChangeTargets takes entries that are new or changed, and the incarnations that went. It
-// costs as much as there are of these, however many targets there are.
-func (p *Placer) ChangeTargets(entries []*roster.Target, gone []string, table *route.Table) {
+// ChangeTargets applies new and changed entries and the incarnations that were removed. Its cost
+// depends on the number of changes only, not on the number of targets.
+func (p *Placer) ChangeTargets(entries []*roster.Target, removed []string, table *route.Table) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.change(entries, gone, table)
+	p.applyTargets(entries, removed, table)
 }
 
-func (p *Placer) change(entries []*roster.Target, gone []string, table *route.Table) {
+func (p *Placer) applyTargets(entries []*roster.Target, removed []string, table *route.Table) {
 	first := len(p.targets) == 0
 	now := p.clock.Now()
-	for _, incarnation := range gone {
+	for _, incarnation := range removed {
 		if t := p.targets[incarnation]; t != nil {
 			p.remove(t)
 		}
@@ -117,31 +116,31 @@
 	for _, entry := range entries {
 		p.put(entry, first, now)
 	}
-	p.forgetNotices(now)
-	p.warm = p.warm && len(p.targets) == 0
+	p.expireAnnouncements(now)
+	p.assumeCached = p.assumeCached && len(p.targets) == 0
 	if table != nil {
 		p.setEngines(table)
 	}
 }
 
-// put takes an entry. First tells that no target was known before.
+// put applies an entry. First reports whether no target was known before.
 func (p *Placer) put(entry *roster.Target, first bool, now time.Time) {
 	incarnation := entry.Incarnation()
 	t := p.targets[incarnation]
 	if t == nil {
-		t = &target{incarnation: incarnation, hash: HashOf(incarnation), late: !first}
-		if p.warm {
-			t.warmUntil = now.Add(warmFor)
+		t = &target{incarnation: incarnation, hash: HashOf(incarnation), startedLater: !first}
+		if p.assumeCached {
+			t.assumeCachedUntil = now.Add(assumeCachedTTL)
 		}
 		p.targets[incarnation] = t
 		p.byHash[t.hash] = t
-		t.others = p.loadOfOthers(t.hash)
-		t.noticed = p.notices[t.hash]
+		t.others = p.othersLoad(t.hash)
+		t.announced = p.announcements[t.hash]
 	} else if t.Service != entry.Service {
 		p.unlist(t)
 	}
 	if t.Target == nil || t.Revision != entry.Revision {
-		t.coldUntil = now.Add(entry.ColdLeft)
+		t.warmUpUntil = now.Add(entry.ColdLeft)
 	}
 	listed := t.Target != nil && t.Service == entry.Service
 	t.Target = entry
@@ -149,36 +148,35 @@
 	t.region = p.regions[entry.DataCentre]
 	if !listed {
 		s := p.service(entry.Service)
-		t.place = len(s.targets)
+		t.index = len(s.targets)
 		s.targets = append(s.targets, t)
 	}
 }
 
-// remove forgets a target. What it said of itself is kept for a while, as its entry may
-// come back.
+// remove removes a target. Its announcement is kept for a while, because its entry may return.
 func (p *Placer) remove(t *target) {
 	delete(p.targets, t.incarnation)
 	if p.byHash[t.hash] == t {
 		delete(p.byHash, t.hash)
 		delete(p.owned, t.hash)
 	}
-	if t.noticed != nil {
-		t.noticed.listed = p.clock.Now()
+	if t.announced != nil {
+		t.announced.listedAt = p.clock.Now()
 	}
 	p.unlist(t)
 }
 
-// unlist takes a target out of the list of its service.
+// unlist removes a target from the list of its service.
 func (p *Placer) unlist(t *target) {
 	s := p.service(t.Service)
 	last := len(s.targets) - 1
-	s.targets[t.place] = s.targets[last]
-	s.targets[t.place].place = t.place
+	s.targets[t.index] = s.targets[last]
+	s.targets[t.index].index = t.index
 	s.targets[last] = nil
 	s.targets = s.targets[:last]
 }
 
-// Listed reports whether a run of a target is listed.
+// Listed reports whether an incarnation of a target is listed.
 func (p *Placer) Listed(incarnation string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -195,7 +193,7 @@
 	return "", false
 }
 
-// DataCentre returns that of a listed target, "" if it is not known.
+// DataCentre returns the data centre of a listed target, "" if it is not known.
 func (p *Placer) DataCentre(target Hash) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -205,7 +203,7 @@
 	return ""
 }
 
-// SetEvacuated takes the data centres whose targets are to get nothing new.
+// SetEvacuated sets the data centres whose targets must get no new requests.
 func (p *Placer) SetEvacuated(dataCentres map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -213,13 +211,13 @@
 }
 
 func (p *Placer) setEngines(table *route.Table) {
-	p.stated = int(table.Limits.TokensPerSecond * useWindow.Seconds())
+	p.statedCapacity = int(table.Limits.TokensPerSecond * useWindow.Seconds())
 	for i := range table.Services {
 		s := p.service(table.Services[i].Name)
 		s.engine = table.Services[i].Engine
-		s.coldRate = table.Services[i].ColdRate
+		s.warmUpRate = table.Services[i].ColdRate
 		if s.engine != nil && len(s.targets) > 0 {
-			s.speed.guess(table.Limits.TokensPerSecond / float64(len(s.targets)))
+			s.latency.setStatedSpeed(table.Limits.TokensPerSecond / float64(len(s.targets)))
 		}
 	}
 }
@@ -227,7 +225,7 @@
 func (p *Placer) service(name string) *service {
 	s := p.services[name]
 	if s == nil {
-		s = &service{speed: newSpeed(), holds: newHolds()}
+		s = &service{latency: newLatencyEstimator(), slotTime: newSlotTime()}
 		p.services[name] = s
 	}
 	return s
--- a/place/totals.go
+++ b/place/totals.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// Totals is the use of many routers by customers. The customers that ask for most are told
-// one by one, the others by their number and sum, so that its size does not grow with the
+// Totals is the usage of many routers by customer. The customers that request the most are listed
+// one by one, the others as a count and a sum, so that the size does not grow with the number of
 // customers.
 type Totals struct {
 	Usage map[Hash]Usage
-	// OtherCustomers is the number of further customers, OtherUsage is their use together.
+	// OtherCustomers is the number of further customers, OtherUsage their usage together.
 	OtherCustomers int
 	OtherUsage     Usage
-	// AsOf is when the oldest part was true.
+	// AsOf is the time of the oldest part.
 	AsOf time.Time
 }
 
-// totalsFor is how long totals are used.
-const totalsFor = useWindow
+// totalsTTL is the time for which totals are used.
+const totalsTTL = useWindow
 
-// Add adds other totals. A customer that is told one by one in only one of them lacks there
-// what the other counts among the rest, which is less than the least that it tells of.
+// Add adds other totals. If a customer is listed in only one of them, its usage in the other is
+// missing from its entry, because it is included in the other's OtherUsage. That usage is smaller
+// than the smallest listed there.
 func (t *Totals) Add(o Totals) {
 	if t.Usage == nil {
 		t.Usage = make(map[Hash]Usage, len(o.Usage))
@@ -37,7 +38,8 @@
 	}
 }
 
-// Trim counts all but the customers that ask for most among the rest.
+// Trim keeps the customers that request the most, up to the number most, and moves the others to
+// OtherUsage.
 func (t *Totals) Trim(most int) {
 	if len(t.Usage) <= most {
 		return
@@ -47,7 +49,7 @@
 		return cmp.Or(cmp.Compare(y.Requested, x.Requested), cmp.Compare(y.CallsRequested, x.CallsRequested), cmp.Compare(a, b))
 	})
 	t.OtherCustomers = max(t.OtherCustomers, len(ranked)-most)
-	uses := make(map[Hash]Usage, most) // others may have the one before
+	uses := make(map[Hash]Usage, most) // other goroutines may hold the previous map
 	for i, h := range ranked {
 		if i < most {
 			uses[h] = t.Usage[h]
@@ -58,9 +60,10 @@
 	t.Usage = uses
 }
 
-// compared returns the uses by which customers are compared: those of the totals, of which
-// this router's own may be newer, and an equal part of the rest for each of the others.
-func (t *Totals) compared(own map[Hash]Usage) map[Hash]Usage {
+// comparableUsage returns the usage by which customers are compared: that of the totals, or of
+// this router where its own is newer, and an equal part of OtherUsage for each of the other
+// customers.
+func (t *Totals) comparableUsage(own map[Hash]Usage) map[Hash]Usage {
 	uses := maps.Clone(t.Usage)
 	others := t.OtherCustomers
 	for h, u := range own {
@@ -75,12 +78,12 @@
 	}
 	mean := Usage{Requested: t.OtherUsage.Requested / others, Served: t.OtherUsage.Served / others, CallsRequested: t.OtherUsage.CallsRequested / others, CallsServed: t.OtherUsage.CallsServed / others}
 	for i := range others {
-		uses[Hash(i)] = mean // no customer's, by all chance
+		uses[Hash(i)] = mean // very unlikely to be the hash of a customer
 	}
 	return uses
 }
 
-// most returns the larger one of each count.
+// most returns the larger value of each count.
 func most(a, b Usage) Usage {
 	return Usage{
 		Requested: max(a.Requested, b.Requested), Served: max(a.Served, b.Served),
@@ -88,8 +91,8 @@
 	}
 }
 
-// SetTotals takes the use of the whole fleet by customers. While it is new, it counts in
-// place of what routers tell each other.
+// SetTotals sets the usage of the whole fleet by customer. Until it expires, it replaces the
+// reports of individual routers.
 func (p *Placer) SetTotals(t Totals) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -98,7 +101,7 @@
 	}
 }
 
-// TotalsSince sums up the use of this router and of those that told it theirs since a time.
+// TotalsSince sums up the usage of this router and of those that reported theirs since a time.
 func (p *Placer) TotalsSince(since time.Time) Totals {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/place/totals_test.go
+++ b/place/totals_test.go
@@ -51,16 +51,16 @@
 			fleet.Add(ofDC)
 		}
 		fleet.Trim(told)
-		want, got := computeShares(sum, 0), computeShares(fleet.compared(nil), 0)
+		want, got := computeShares(sum, 0), computeShares(fleet.comparableUsage(nil), 0)
 		within := func(what string, got, want int) {
 			t.Helper()
 			assert.Assert(t, got >= want*19/20 && got <= want*21/20, "%s of %d routers: %d, exactly %d", what, routers, got, want)
 		}
-		within("asked", got.asked, want.asked)
-		within("even level", got.even, want.even)
+		within("asked", got.requested, want.requested)
+		within("even level", got.evenLevel, want.evenLevel)
 		for h, u := range sum {
-			if u.Served < want.even*9/10 {
-				assert.Assert(t, got.uses[h].Served <= got.even)
+			if u.Served < want.evenLevel*9/10 {
+				assert.Assert(t, got.usage[h].Served <= got.evenLevel)
 			}
 		}
 		for _, p := range parts {
@@ -79,16 +79,16 @@
 	assert.Assert(t, standing("flood").above)
 	assert.Assert(t, !standing("other").above)
 	p.SetTotals(Totals{AsOf: clock.Now().Add(-time.Second), Usage: map[Hash]Usage{}})
-	clock.Advance(sharesFor)
+	clock.Advance(sharesTTL)
 	assert.Assert(t, standing("flood").above, "older totals change nothing")
-	clock.Advance(totalsFor)
+	clock.Advance(totalsTTL)
 	assert.Assert(t, !standing("flood").above, "what is old does not count")
 }
 
 func TestOwnUseNewerThanTheTotalsCounts(t *testing.T) {
 	own := map[Hash]Usage{HashOf("a"): {Requested: 500, Served: 400}, HashOf("b"): {Requested: 70, Served: 70}}
 	totals := Totals{Usage: map[Hash]Usage{HashOf("a"): {Requested: 100, Served: 100, CallsRequested: 5}}, OtherCustomers: 2, OtherUsage: Usage{Requested: 100, Served: 100}}
-	uses := totals.compared(own)
+	uses := totals.comparableUsage(own)
 	assert.Equal(t, uses[HashOf("a")], Usage{Requested: 500, Served: 400, CallsRequested: 5})
 	assert.Equal(t, uses[HashOf("b")], own[HashOf("b")])
 	assert.Equal(t, len(uses), 3, "one customer is among the rest")
--- a/place/usage.go
+++ b/place/usage.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Usage is what customers asked for and received in the last seconds, in tokens read and
-// made, and in calls of plain services.
+// Usage is what customers requested and were served in the last seconds, in tokens prefilled and
+// generated, and in calls of plain services.
 type Usage struct {
 	Requested int
 	Served    int
@@ -12,7 +12,7 @@
 	CallsServed    int
 }
 
-// add adds another use, so many times: -1 takes it off.
+// add adds another usage multiplied by times; -1 subtracts it.
 func (u *Usage) add(o Usage, times int) {
 	u.Requested += times * o.Requested
 	u.Served += times * o.Served
@@ -20,7 +20,7 @@
 	u.CallsServed += times * o.CallsServed
 }
 
-// useSums are sums of uses by customer.
+// useSums are sums of usage by customer.
 type useSums map[Hash]Usage
 
 func (s useSums) add(uses map[Hash]Usage) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// remove takes uses off that were added before.
+// remove subtracts usage that was added before.
 func (s useSums) remove(uses map[Hash]Usage) {
 	for h, u := range uses {
 		sum := s[h]
@@ -45,34 +45,33 @@
 }
 
 const (
-	// useSlots of useSlot make the sliding window in which customers are compared:
+	// useSlots slots of length useSlot form the sliding window in which customers are compared:
 	// four seconds, as the deployments state for their shares.
 	useSlots = 8
 	useSlot  = 500 * time.Millisecond
 	// useWindow is the length of that window.
 	useWindow = useSlots * useSlot
-	// leastFactor is the smallest part of the usual limit for a customer above what it
-	// is owed, up to the even level: it then gets little more than what would stay
-	// idle.
-	leastFactor = 0.25
-	// heavyFactor is the part of the usual limit for customers that ask for more
-	// than heavyRatio times an even part: what they leave keeps waits short for the
-	// others, whose few refusals weigh more. Measured in docs/design/0007.
+	// minFactor is the minimum factor on the usual limit for a customer above what it is owed, up
+	// to the even level: such a customer then gets little more than what would stay idle.
+	minFactor = 0.25
+	// heavyFactor is the factor on the usual limit for customers that request more than
+	// heavyRatio times an even part. The capacity that they leave keeps waits short for the other
+	// customers, for whom each of their few refusals weighs more; see docs/design/0007.
 	heavyFactor = 0.85
 	heavyRatio  = 2
-	// lightFactor is that for customers that ask for less than an even part divided
-	// by lightRatio.
+	// lightFactor is the factor for customers that request less than an even part divided by
+	// lightRatio.
 	lightFactor = 1.1
 	lightRatio  = 2
 )
 
-// ring holds one customer's use of this router by slots of time.
+// ring holds one customer's usage of this router by time slot.
 type ring struct {
 	slots [useSlots]Usage
 	at    int64
 }
 
-// advance empties the slots that are older than the window.
+// advance clears the slots that are older than the window.
 func (r *ring) advance(slot int64) {
 	for ; r.at < slot; r.at++ {
 		if slot-r.at > useSlots {
@@ -98,33 +97,33 @@
 
 func slotOf(now time.Time) int64 { return now.UnixNano() / int64(useSlot) }
 
-// note counts a request of a customer.
-func (p *Placer) note(customer string, u Usage, now time.Time) {
+// recordUsage adds the usage of a request to its customer.
+func (p *Placer) recordUsage(customer string, u Usage, now time.Time) {
 	h := HashOf(customer)
-	r := p.uses[h]
+	r := p.usage[h]
 	if r == nil {
 		r = &ring{at: slotOf(now)}
-		p.uses[h] = r
+		p.usage[h] = r
 	}
 	r.add(slotOf(now), u)
 }
 
-// takeBack takes the service of a run that began at a time, and provably did not
-// run, off its customer's use. Targets that crash refuse hundreds of requests in
-// a second; counted as service they made a customer look better served than
-// another that had half of its tokens.
-func (p *Placer) takeBack(customer Hash, served Usage, began, now time.Time) {
-	r := p.uses[customer]
+// refundUsage subtracts what a run that began at start was counted as served, because it provably
+// did not run. Targets that crash refuse hundreds of requests in a second; counted as served,
+// these made a customer appear better served than another one that got half of the tokens it
+// requested.
+func (p *Placer) refundUsage(customer Hash, served Usage, start, now time.Time) {
+	r := p.usage[customer]
 	if r == nil {
 		return
 	}
 	r.advance(slotOf(now))
-	if at := slotOf(began); at > r.at-useSlots {
+	if at := slotOf(start); at > r.at-useSlots {
 		r.slots[at%useSlots].add(served, -1)
 	}
 }
 
-// Usage returns the use of this router by each customer in the window.
+// Usage returns the usage of this router by each customer in the window.
 func (p *Placer) Usage() map[Hash]Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,12 +131,12 @@
 }
 
 func (p *Placer) ownUses(now time.Time) map[Hash]Usage {
-	uses := make(map[Hash]Usage, len(p.uses))
-	for h, r := range p.uses {
+	uses := make(map[Hash]Usage, len(p.usage))
+	for h, r := range p.usage {
 		if u := r.sum(slotOf(now)); u != (Usage{}) {
 			uses[h] = u
 		} else {
-			delete(p.uses, h)
+			delete(p.usage, h)
 		}
 	}
 	return uses
--- a/place/usage_test.go
+++ b/place/usage_test.go
@@ -10,15 +10,15 @@
 func TestShareLevelIsMaxMin(t *testing.T) {
 	uses := map[Hash]Usage{1: {Requested: 100, Served: 100}, 2: {Requested: 1000, Served: 300}, 3: {Requested: 5000, Served: 1500}}
 	s := computeShares(uses, 0)
-	assert.Assert(t, s.pressed)
-	assert.Equal(t, s.even, 900)
-	assert.Equal(t, s.owed, 900)
+	assert.Assert(t, s.oversubscribed)
+	assert.Equal(t, s.evenLevel, 900)
+	assert.Equal(t, s.owedLevel, 900)
 	s = computeShares(uses, 1100)
-	assert.Equal(t, s.even, 900)
-	assert.Equal(t, s.owed, 500)
-	assert.Equal(t, computeShares(uses, 5000).owed, 900, "no more is owed than is served")
+	assert.Equal(t, s.evenLevel, 900)
+	assert.Equal(t, s.owedLevel, 500)
+	assert.Equal(t, computeShares(uses, 5000).owedLevel, 900, "no more is owed than is served")
 	calm := computeShares(map[Hash]Usage{1: {Requested: 100, Served: 100}, 2: {Requested: 5000, Served: 5000}}, 1000)
-	assert.Assert(t, !calm.pressed)
+	assert.Assert(t, !calm.oversubscribed)
 }
 
 // TestLimitShrinksFromTheOwedLevelOn has three customers that flood: one within
@@ -27,14 +27,14 @@
 	s := computeShares(map[Hash]Usage{
 		HashOf("within"): {Requested: 5000, Served: 450}, HashOf("above"): {Requested: 5000, Served: 800}, HashOf("ahead"): {Requested: 5000, Served: 1450},
 	}, 1500)
-	assert.Equal(t, s.owed, 500)
-	assert.Equal(t, s.even, 900)
-	assert.Equal(t, s.standing("within"), standing{part: 1})
+	assert.Equal(t, s.owedLevel, 500)
+	assert.Equal(t, s.evenLevel, 900)
+	assert.Equal(t, s.standing("within"), standing{limitFactor: 1})
 	above, ahead := s.standing("above"), s.standing("ahead")
 	assert.Assert(t, above.above && !above.ahead && ahead.above && ahead.ahead)
-	assert.Assert(t, above.part < 0.5 && above.part >= leastFactor, "%v", above)
-	assert.Assert(t, ahead.part < leastFactor && ahead.part > leastFactor/4, "%v", ahead)
-	assert.Equal(t, s.standing("new").part, lightFactor)
+	assert.Assert(t, above.limitFactor < 0.5 && above.limitFactor >= minFactor, "%v", above)
+	assert.Assert(t, ahead.limitFactor < minFactor && ahead.limitFactor > minFactor/4, "%v", ahead)
+	assert.Equal(t, s.standing("new").limitFactor, lightFactor)
 }
 
 // TestFloodThatIsAheadLeavesIdleTargetsToOthers has two customers that flood, of
@@ -45,8 +45,8 @@
 		HashOf("ahead"): {Requested: 9_000_000, Served: 3_000_000}, HashOf("behind"): {Requested: 9_000_000, Served: 1_000_000},
 	}})
 	c := call("part", 500, 9000)
-	assert.Equal(t, p.Place(ask(c, "ahead")).Reason, Overloaded)
-	assert.Assert(t, p.Place(ask(c, "behind")).Run != nil)
+	assert.Equal(t, p.Place(promptRequest(c, "ahead")).Reason, Overloaded)
+	assert.Assert(t, p.Place(promptRequest(c, "behind")).Run != nil)
 }
 
 func TestCustomerAboveItsShareIsRefusedFirst(t *testing.T) {
@@ -55,12 +55,12 @@
 		HashOf("flood"): {Requested: 10_000_000, Served: 1_000_000}, HashOf("small"): {Requested: 500_000, Served: 10_000},
 	}})
 	c := call("part", 500, 3000)
-	home := p.Place(ask(c, "small")).Run
+	home := p.Place(promptRequest(c, "small")).Run
 	for _, target := range p.targets {
 		target.queue.add(10_000)
 	}
-	assert.Equal(t, p.Place(ask(c, "flood")).Reason, Overloaded)
-	d := p.Place(ask(c, "small"))
+	assert.Equal(t, p.Place(promptRequest(c, "flood")).Reason, Overloaded)
+	d := p.Place(promptRequest(c, "small"))
 	assert.Equal(t, d.Share, lightFactor)
 	assert.Assert(t, d.Run != nil, "places are left for customers below their share")
 	home.End(Answered)
@@ -68,7 +68,7 @@
 
 func TestUseSlidesOutOfTheWindow(t *testing.T) {
 	p, clock := newTestPlacer(t)
-	p.note("c", Usage{Requested: 10, Served: 5}, clock.Now())
+	p.recordUsage("c", Usage{Requested: 10, Served: 5}, clock.Now())
 	clock.Advance((useSlots - 1) * useSlot)
 	assert.Equal(t, p.Usage()[HashOf("c")], Usage{Requested: 10, Served: 5})
 	clock.Advance(2 * useSlot)
@@ -88,7 +88,7 @@
 		p, clock := newTestPlacer(t)
 		c := call("part", 900, 100)
 		cost := costOf(c)
-		run := p.Place(ask(c, "c")).Run
+		run := p.Place(promptRequest(c, "c")).Run
 		clock.Advance(useSlot)
 		run.End(tc.result)
 		run.End(tc.result)
@@ -103,10 +103,10 @@
 func TestServiceOfLongAgoIsNotTakenBackTwice(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	c := call("part", 900, 100)
-	run := p.Place(ask(c, "c")).Run
+	run := p.Place(promptRequest(c, "c")).Run
 	clock.Advance(useWindow)
 	assert.Equal(t, len(p.Usage()), 0)
-	p.Place(ask(c, "c"))
+	p.Place(promptRequest(c, "c"))
 	run.End(Refused)
 	assert.Equal(t, p.Usage()[HashOf("c")].Served, costOf(c))
 }
@@ -114,7 +114,7 @@
 func TestSecondAttemptAsksForNothingNew(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := call("part", 900, 100)
-	r := ask(c, "c")
+	r := promptRequest(c, "c")
 	run := p.Place(r).Run
 	run.End(Refused)
 	r.Tried = []string{run.Target.ID}
@@ -128,12 +128,12 @@
 		uses[HashOf(fmt.Sprint(i))] = Usage{Requested: 20, Served: 20}
 	}
 	s := computeShares(uses, 0)
-	assert.Assert(t, !s.pressed)
-	assert.Equal(t, s.standing("heavy"), standing{part: heavyFactor})
-	assert.Equal(t, s.standing("3"), standing{part: lightFactor})
-	assert.Equal(t, s.standing("new"), standing{part: lightFactor})
+	assert.Assert(t, !s.oversubscribed)
+	assert.Equal(t, s.standing("heavy"), standing{limitFactor: heavyFactor})
+	assert.Equal(t, s.standing("3"), standing{limitFactor: lightFactor})
+	assert.Equal(t, s.standing("new"), standing{limitFactor: lightFactor})
 	even := computeShares(map[Hash]Usage{HashOf("a"): {Requested: 90, Served: 90}, HashOf("b"): {Requested: 100, Served: 100}}, 0)
-	assert.Equal(t, even.standing("a").part, 1.0)
+	assert.Equal(t, even.standing("a").limitFactor, 1.0)
 }
 
 // TestSumsOfOthersUsesFollowEveryReport holds the kept sums equal to the reports.
@@ -142,13 +142,13 @@
 	c := HashOf("c")
 	p.ApplyReport("a", Report{Usage: map[Hash]Usage{c: {Requested: 5, Served: 3}}})
 	p.ApplyReport("b", Report{Usage: map[Hash]Usage{c: {Requested: 7, Served: 7}}})
-	assert.Equal(t, p.othersUses[c], Usage{Requested: 12, Served: 10})
+	assert.Equal(t, p.othersUsage[c], Usage{Requested: 12, Served: 10})
 	p.ApplyReport("a", Report{})
-	assert.Equal(t, p.othersUses[c], Usage{Requested: 12, Served: 10}, "a report without uses leaves them")
+	assert.Equal(t, p.othersUsage[c], Usage{Requested: 12, Served: 10}, "a report without uses leaves them")
 	p.ApplyReport("a", Report{Usage: map[Hash]Usage{c: {Requested: 1, Served: 1}}})
-	assert.Equal(t, p.othersUses[c], Usage{Requested: 8, Served: 8})
+	assert.Equal(t, p.othersUsage[c], Usage{Requested: 8, Served: 8})
 	p.RemovePeer("b")
-	assert.Equal(t, p.othersUses[c], Usage{Requested: 1, Served: 1})
+	assert.Equal(t, p.othersUsage[c], Usage{Requested: 1, Served: 1})
 	p.RemovePeer("a")
-	assert.Equal(t, len(p.othersUses), 0)
+	assert.Equal(t, len(p.othersUsage), 0)
 }
--- a/place/versions.go
+++ b/place/versions.go
@@ -2,16 +2,15 @@
 
 import "slices"
 
-// liftVersions lifts the bound on versions that no target fulfils which takes requests.
-//
-// The load that it answers: targets of one version crash, or have not started, while a
-// service moves between two. Its requests are served by the other one, unless that was rolled
+// liftVersions lifts a restriction on versions that no target that accepts requests meets.
+// Targets of one version may crash, or may not have started, during the rollout of a service from
+// one version to another. Requests are then served by the other version, unless that was rolled
 // back.
 func (p *Placer) liftVersions(s *service, r *Request) {
 	if r.Versions == (Versions{}) || r.Versions.Strict {
 		return
 	}
-	if !slices.ContainsFunc(s.targets, func(t *target) bool { return r.Versions.allow(t.Version) && !p.leaves(t) }) {
+	if !slices.ContainsFunc(s.targets, func(t *target) bool { return r.Versions.allow(t.Version) && !p.closedToNew(t) }) {
 		r.Versions = Versions{}
 	}
 }
--- a/place/versions_test.go
+++ b/place/versions_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// newVersionsSite is a placer before engines that copy, every third of a new version.
-func newVersionsSite(t *testing.T) *copyingSite {
+// newVersionsFixture is a placer before engines that copy, every third of a new version.
+func newVersionsFixture(t *testing.T) *copyFixture {
 	t.Helper()
-	s := newCopyingSite(t, testCopyRate)
+	s := newCopyFixture(t, testCopyRate)
 	for i, x := range s.list {
 		next := *x
 		next.Version = []string{"v1", "v1", "v2"}[i%3]
@@ -21,17 +21,17 @@
 	return s
 }
 
-func to(r Request, v Versions) Request {
+func withVersions(r Request, v Versions) Request {
 	r.Versions = v
 	return r
 }
 
 // TestRequestsKeepToTheirVersion places prompts of all homes, and their second attempts.
 func TestRequestsKeepToTheirVersion(t *testing.T) {
-	s := newVersionsSite(t)
+	s := newVersionsFixture(t)
 	for i := range 60 {
 		for _, v := range []Versions{{Only: "v2"}, {Not: "v2"}, {Not: "v2", Strict: true}} {
-			r := to(ask(call(fmt.Sprint(i), 1000, 10), "c"), v)
+			r := withVersions(promptRequest(call(fmt.Sprint(i), 1000, 10), "c"), v)
 			for range 2 {
 				for _, q := range s.Queries(r) {
 					assert.Assert(t, v.allow(s.byHash[q.Target].Version), "nobody else is asked")
@@ -53,7 +53,7 @@
 
 // TestVersionWithoutTargetsIsNotWaitedFor has all targets of one version leave.
 func TestVersionWithoutTargetsIsNotWaitedFor(t *testing.T) {
-	s := newVersionsSite(t)
+	s := newVersionsFixture(t)
 	for i, x := range s.list {
 		if x.Version == "v1" {
 			next := *x
@@ -62,10 +62,10 @@
 		}
 	}
 	s.update()
-	d := s.Place(to(s.request, Versions{Not: "v2"}))
+	d := s.Place(withVersions(s.request, Versions{Not: "v2"}))
 	assert.Assert(t, d.Run != nil && d.Run.Target.Version == "v2")
-	d = s.Place(to(s.request, Versions{Not: "v2", Strict: true}))
+	d = s.Place(withVersions(s.request, Versions{Not: "v2", Strict: true}))
 	assert.Assert(t, d.Run == nil, "a version that was rolled back gets nothing")
-	d = s.Place(to(s.request, Versions{Only: "v3"}))
+	d = s.Place(withVersions(s.request, Versions{Only: "v3"}))
 	assert.Assert(t, d.Run != nil)
 }
