--- a/place/backoff_test.go
+++ b/place/backoff_test.go
@@ -10,7 +10,7 @@
 	"zinccove.example/zinccove/notice"
 )
 
-// timedEvents are times at which something happens, the earliest first.
+// timedEvents are functions to call at given times, the earliest first.
 type timedEvents []timedEvent
 
 type timedEvent struct {
@@ -28,10 +28,10 @@
 	return last
 }
 
-// TestCallersComeBackAfterABackoff replays calls to a plain service of which all targets
-// want a backoff of three seconds at once. Refused callers come back when they are told.
-// Targets that are full turn calls away and want another backoff, so a crowd at the end of
-// the first one would begin the next.
+// TestCallersComeBackAfterABackoff replays calls to a plain service all of whose targets ask for
+// a backoff of three seconds at once. Refused callers retry after the given delay. Full targets
+// refuse calls and ask for another backoff, so that many simultaneous retries at the end of the
+// first backoff would start the next one.
 func TestCallersComeBackAfterABackoff(t *testing.T) {
 	const (
 		backoff = 3 * time.Second
@@ -39,7 +39,7 @@
 		period  = 4 * time.Millisecond
 		length  = 10 * time.Second
 		slots   = 6
-		// room is the number of calls that a target has running or waiting at most.
+		// room is the maximum number of calls that a target has running or waiting.
 		room = 8
 	)
 	p, clock := newTestPlacer(t)
@@ -87,7 +87,7 @@
 		clock.Advance(m.at.Sub(clock.Now()))
 		m.do()
 	}
-	t.Logf("of %d calls %d served, %d turned away after the backoff", all, served, away)
+	t.Logf("of %d calls %d served, %d refused after the backoff", all, served, away)
 	assert.Assert(t, served > all*9/10, "%d of %d", served, all)
 	assert.Equal(t, away, 0)
 }
--- a/place/call_shares.go
+++ b/place/call_shares.go
@@ -39,5 +39,5 @@
 	if customer == "" || !s.calls.oversubscribed || u.CallsServed <= s.calls.evenLevel {
 		return 1
 	}
-	return aboveEvenFactor * squared(s.calls.evenLevel, u.CallsServed)
+	return aboveEvenFactor * squaredRatio(s.calls.evenLevel, u.CallsServed)
 }
--- a/place/copy.go
+++ b/place/copy.go
@@ -26,13 +26,13 @@
 // Without copies their shared prefixes, three quarters of all tokens, are then prefilled again
 // while another engine still has them cached. Copying a token takes an eighth of the time of
 // prefilling it.
-func (s *service) cacheHolders(homes, left []*target, pr *prompt, known repliesByTarget, now time.Time) []cacheHolder {
-	list := make([]cacheHolder, 0, len(homes)+len(left))
+func (s *service) cacheHolders(homes, formerHomes []*target, pr *prompt, replies repliesByTarget, now time.Time) []cacheHolder {
+	list := make([]cacheHolder, 0, len(homes)+len(formerHomes))
 	for rank, t := range homes {
-		list = append(list, cacheHolder{target: t, prefillTokens: s.prefillTokens(t, pr, known, rank == 0, now)})
+		list = append(list, cacheHolder{target: t, prefillTokens: s.prefillTokens(t, pr, replies, rank == 0, now)})
 	}
-	for _, t := range left {
-		list = append(list, cacheHolder{target: t, prefillTokens: s.prefillTokens(t, pr, known, true, now), sourceOnly: true})
+	for _, t := range formerHomes {
+		list = append(list, cacheHolder{target: t, prefillTokens: s.prefillTokens(t, pr, replies, true, now), sourceOnly: true})
 	}
 	return list
 }
@@ -40,8 +40,8 @@
 // prefillTokens returns the number of tokens of a prompt that a target has to prefill. All
 // routers prefer a prompt's first home, so only that target is likely to have cached prefix parts
 // that this router knows nothing about.
-func (s *service) prefillTokens(t *target, pr *prompt, known repliesByTarget, first bool, now time.Time) int {
-	if a, ok := known[t.hash]; ok {
+func (s *service) prefillTokens(t *target, pr *prompt, replies repliesByTarget, first bool, now time.Time) int {
+	if a, ok := replies[t.hash]; ok {
 		return min(a.PrefillTokens, pr.prefillTokens(&t.cache, s.engine.MemoryTokens, false))
 	}
 	return pr.prefillTokens(&t.cache, s.engine.MemoryTokens, first && t.assumesCached(now))
--- a/place/copy_test.go
+++ b/place/copy_test.go
@@ -14,18 +14,18 @@
 const (
 	copiedTokens = 13_000
 	ownTokens    = 3_000
-	// testCopyRate is in tokens a second, six times as fast as engines read.
+	// testCopyRate is in tokens a second, six times the speed of prefill.
 	testCopyRate = 420_000
 )
 
-// copyFixture is a placer before engines that copy, and a prompt whose first home keeps
-// its shared part.
+// copyFixture is a placer for engines that copy, and a prompt whose first home has its shared
+// part cached.
 type copyFixture struct {
 	*Placer
 	clock *clockwork.FakeClock
 	list  []*roster.Target
 	table *route.Table
-	// first is the home, second the one after it.
+	// first is the home, second the next one.
 	first, second *target
 	request       Request
 }
@@ -49,7 +49,7 @@
 	return s
 }
 
-// update makes changes of the list known.
+// update applies changes of the list.
 func (s *copyFixture) update() { s.SetTargets(s.list, s.table) }
 
 // entry changes the entry of the first home.
@@ -65,11 +65,11 @@
 	s.update()
 }
 
-// overloadFirst has so much wait at the first home that prompts move to the second.
+// overloadFirst adds so many pending tokens to the first home that prompts move to the second.
 func (s *copyFixture) overloadFirst() { s.first.queue.add(300_000) }
 
-// TestNextHomeCopiesFromFullHome replays a home that is full for a while: prompts
-// move, and their shared parts were read once more.
+// TestNextHomeCopiesFromFullHome replays a home that is full for a while: prompts move, and
+// without copies their shared parts are prefilled again.
 func TestNextHomeCopiesFromFullHome(t *testing.T) {
 	s := newCopyFixture(t, testCopyRate)
 	s.overloadFirst()
@@ -83,11 +83,11 @@
 	assert.Equal(t, news.Prefills[len(news.Prefills)-1].CopiedTokens, copiedTokens)
 	again := s.Place(s.request)
 	assert.Equal(t, again.Rank, 1)
-	assert.Equal(t, again.CopiedTokens, 0, "it keeps them now")
+	assert.Equal(t, again.CopiedTokens, 0, "the target has them cached now")
 }
 
-// TestCopyTimeIsPredicted compares the expected times of a home that copies and of one that
-// keeps the parts.
+// TestCopyTimeIsPredicted compares the predicted times of a home that copies and of one that has
+// the parts cached.
 func TestCopyTimeIsPredicted(t *testing.T) {
 	s := newCopyFixture(t, testCopyRate)
 	kept := s.Place(s.request)
@@ -98,10 +98,10 @@
 	slow := newCopyFixture(t, 1000)
 	slow.overloadFirst()
 	d := slow.Place(slow.request)
-	assert.Equal(t, d.CopiedTokens, 0, "copies that take longer than reading are not made")
+	assert.Equal(t, d.CopiedTokens, 0, "copies that take longer than prefill are not made")
 }
 
-// TestCopyTimeDoesNotCountAsSlowness has a copy take as long as expected.
+// TestCopyTimeDoesNotCountAsSlowness has a copy take as long as predicted.
 func TestCopyTimeDoesNotCountAsSlowness(t *testing.T) {
 	s := newCopyFixture(t, testCopyRate)
 	s.overloadFirst()
@@ -112,8 +112,8 @@
 	assert.Assert(t, factor > 0.95 && factor < 1.05, "%v", factor)
 }
 
-// TestDrainingHomesAreCopiedFrom replays planned departures: the next homes of their
-// prompts had all shared parts read again while the engines that kept them still ran.
+// TestDrainingHomesAreCopiedFrom replays planned departures. The next homes of the prompts
+// prefilled all shared parts again while the engines that had them cached were still running.
 func TestDrainingHomesAreCopiedFrom(t *testing.T) {
 	leave := map[string]func(s *copyFixture){
 		"drains":       func(s *copyFixture) { s.entry(func(x *roster.Target) { x.Draining = true }) },
@@ -133,12 +133,12 @@
 	}
 }
 
-// TestUnsuitableHomesAreNotCopiedFrom has the home that kept the shared part be
-// of no use in every way.
+// TestUnsuitableHomesAreNotCopiedFrom makes the home that has the shared part cached unusable in
+// every way.
 func TestUnsuitableHomesAreNotCopiedFrom(t *testing.T) {
 	bad := map[string]func(s *copyFixture){
 		"ended": func(s *copyFixture) { s.list = without(s.list, s.first.ID); s.update() },
-		"started again": func(s *copyFixture) {
+		"restarted": func(s *copyFixture) {
 			s.entry(func(x *roster.Target) { x.Started = time.Unix(1, 0) })
 			s.first.queue.add(1)
 		},
@@ -151,7 +151,7 @@
 			}
 		},
 		"cut off": func(s *copyFixture) { s.cutOff[s.first.DataCentre] = true },
-		"has forgotten": func(s *copyFixture) {
+		"has evicted the part": func(s *copyFixture) {
 			s.first.cache.touch(nil, 500_000)
 			s.overloadFirst()
 		},
--- a/place/flood_test.go
+++ b/place/flood_test.go
@@ -13,19 +13,18 @@
 // traffic is the traffic of one customer.
 type traffic struct {
 	customer string
-	// rate is in requests a second; router is where all of them arrive, everywhere
-	// if negative.
+	// rate is in requests a second; router is where all of them arrive, all routers if negative.
 	rate   float64
 	router int
-	// asked and got are in tokens, as customers are compared.
+	// asked and served are in tokens, by which customers are compared.
 	asked, got int
 }
 
-// floodPerToken makes engines that two floods fill several times over.
+// floodPerToken is the prefill time per token of engines that two floods overload several times
+// over.
 const floodPerToken = 24 * time.Microsecond
 
-// routers drives several placers that tell each other what they do, and engines
-// that they share.
+// routers drives several placers that exchange reports, and the engines that they share.
 type routers struct {
 	clock   *clockwork.FakeClock
 	random  *rand.Rand
@@ -50,13 +49,13 @@
 }
 
 const (
-	// prefillsInterval and tellUses are how often routers tell each other of placed
-	// prompts and of customers' use.
+	// prefillsInterval and usageInterval are the intervals at which routers report placed prompts
+	// and the customers' usage.
 	prefillsInterval = 5 * time.Millisecond
 	usageInterval    = 400 * time.Millisecond
 )
 
-// run plays the crowds' traffic.
+// run simulates the customers' traffic.
 func (r *routers) run(d time.Duration, crowds ...*traffic) {
 	for ms := range d.Milliseconds() {
 		for _, c := range crowds {
@@ -80,7 +79,7 @@
 	f := r.fleets[router]
 	q := promptRequest(call(fmt.Sprint(r.random.IntN(40)), 4000, 500+r.random.IntN(4000)), c.customer)
 	c.asked += costOf(q.Call)
-	d := f.placer.Place(q, r.answers(router, q)...)
+	d := f.placer.Place(q, r.replies(router, q)...)
 	if d.Run == nil {
 		return
 	}
@@ -88,11 +87,11 @@
 	f.pending[d.Run] = f.engines[d.Run.Target.ID].firstEvent(r.clock.Now(), d.PrefillTokens)
 }
 
-// owner returns the router that answers for a target.
+// owner returns the index of the router that owns a target.
 func (r *routers) owner(target Hash) int { return int(uint64(target) % uint64(len(r.placers))) }
 
-// answers has the routers answer that a request's targets belong to.
-func (r *routers) answers(router int, q Request) []Reply {
+// replies returns the replies of the owners of a request's targets.
+func (r *routers) replies(router int, q Request) []Reply {
 	var list []Reply
 	for _, question := range r.placers[router].Queries(q) {
 		owner := r.owner(question.Target)
@@ -103,7 +102,7 @@
 	return list
 }
 
-// updateFor is the part of a router's news that concerns another one.
+// updateFor returns the part of a router's update that concerns the targets of an owner.
 func (r *routers) updateFor(owner int, n Update) Update {
 	part := Update{Loads: make(map[Hash]Load)}
 	for _, x := range n.Prefills {
@@ -143,12 +142,11 @@
 	}
 }
 
-// TestFloodsAreServedEquallyAtAnyNumberOfRouters has two customers flood. One of
-// them has connections to all routers and asks 3.6 times as often, the other has
-// all of its connections at one router. Both were far above what they were owed, so
-// both had the least limit, and what fitted it went to whoever asked more often: a
-// customer that asked for 2.2 million tokens in six seconds got 0.9 million, and
-// another one 2.5 million.
+// TestFloodsAreServedEquallyAtAnyNumberOfRouters has two customers send floods of requests. One
+// of them has connections to all routers and requests 3.6 times as often, the other has all of
+// its connections at one router. Both are far above what they are owed. When both had the same
+// minimum limit, the capacity that fitted it went to whoever requested more often: a customer
+// that requested 2.2 million tokens in six seconds got 0.9 million, and another one 2.5 million.
 func TestFloodsAreServedEquallyAtAnyNumberOfRouters(t *testing.T) {
 	for seed := range uint64(3) {
 		wide := &traffic{customer: "wide", rate: 260, router: -1}
@@ -163,10 +161,10 @@
 			c.asked, c.got = 0, 0
 		}
 		r.run(6*time.Second, crowds...)
-		t.Logf("seed %d: wide asked %d, got %d; narrow asked %d, got %d", seed, wide.asked, wide.got, narrow.asked, narrow.got)
+		t.Logf("seed %d: wide requested %d, served %d; narrow requested %d, served %d", seed, wide.asked, wide.got, narrow.asked, narrow.got)
 		assert.Assert(t, 2*narrow.got > min(narrow.asked, wide.got))
 		for _, c := range crowds[2:] {
-			assert.Assert(t, c.got > c.asked*8/10, "%s asked for %d, got %d", c.customer, c.asked, c.got)
+			assert.Assert(t, c.got > c.asked*8/10, "%s requested %d, was served %d", c.customer, c.asked, c.got)
 		}
 	}
 }
--- a/place/hash_test.go
+++ b/place/hash_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// sharing returns two names whose hashes share 32 bits, as some of ten thousand do.
+// sharing returns two names whose hashes agree in 32 bits, as some of ten thousand names do.
 func sharing(t *testing.T) (a, b string) {
 	t.Helper()
 	seen := make(map[uint32]string)
@@ -22,9 +22,9 @@
 	return "", ""
 }
 
-// TestTargetsWhoseHashesAreAlikeAreToldApart has one of two such targets be full and say that
-// it leaves: the other one is not touched.
-func TestTargetsWhoseHashesAreAlikeAreToldApart(t *testing.T) {
+// TestTargetsWithSimilarHashesAreDistinct makes one of two such targets full and draining. The
+// other one must not be affected.
+func TestTargetsWithSimilarHashesAreDistinct(t *testing.T) {
 	a, b := sharing(t)
 	p, _ := newTestPlacer(t)
 	list := targets("plain", 2)
--- a/place/home.go
+++ b/place/home.go
@@ -11,8 +11,8 @@
 
 // placeEngine chooses the home with the lowest cost among the first homes of a prompt and decides
 // whether the request is admitted there.
-func (p *Placer) placeEngine(s *service, r Request, known repliesByTarget, now time.Time) Decision {
-	homes, left := p.homes(s, r, now)
+func (p *Placer) placeEngine(s *service, r Request, replies repliesByTarget, now time.Time) Decision {
+	homes, formerHomes := p.homes(s, r, now)
 	if len(homes) == 0 {
 		return p.refuseNoTarget(s, &r, now)
 	}
@@ -21,12 +21,12 @@
 	}
 	pr := newPrompt(r.Call)
 	st := p.currentShares(now).standing(r.Customer)
-	best := s.cheapest(s.cacheHolders(homes, left, &pr, known, now), &pr, now)
+	best := s.cheapest(s.cacheHolders(homes, formerHomes, &pr, replies, now), &pr, now)
 	d := Decision{
 		CopiedTokens: best.copiedTokens, CopyFrom: best.copyFrom,
 		Rank: best.rank, Share: st.limitFactor, AboveShare: st.above,
 		Backlog: best.backlog, PrefillTokens: best.prefillTokens, SharedTokens: best.prefillTokens - pr.uniqueTokens, Outstanding: best.target.outstanding(),
-		Wait: best.wait, Predicted: best.predicted, Slowness: best.slowness, Replies: len(known), ReportAge: p.oldestReportAge(now),
+		Wait: best.wait, Predicted: best.predicted, Slowness: best.slowness, Replies: len(replies), ReportAge: p.oldestReportAge(now),
 		HasFreeSlot: best.target.outstanding() < best.target.Slots,
 	}
 	limit := time.Duration(float64(r.Objective) * admitShare * st.limitFactor)
--- a/place/idle_test.go
+++ b/place/idle_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestIdleEnginesAdmitCustomersAheadUnlessOthersAreStarved has one customer ahead of the even
-// level, and another that goes short or does not.
+// level, and another one that is starved or is not.
 func TestIdleEnginesAdmitCustomersAheadUnlessOthersAreStarved(t *testing.T) {
 	for _, short := range []bool{false, true} {
 		p, _ := newTestPlacer(t)
@@ -23,15 +23,15 @@
 		p.Place(promptRequest(call("part", 500, 10), "behind")).Run.End(Answered)
 		d := p.Place(promptRequest(call("part", 500, 4000), "ahead"))
 		assert.Equal(t, d.Run == nil, short)
-		assert.Assert(t, p.Place(promptRequest(call("other part", 500, 4000), "ahead")).Run == nil, "its shared part would push out others'")
+		assert.Assert(t, p.Place(promptRequest(call("other part", 500, 4000), "ahead")).Run == nil, "its shared part would evict those of others")
 		long := p.Place(promptRequest(call("part", 500, 20_000), "ahead"))
-		assert.Assert(t, long.Run == nil, "long prompts delay who comes next: %v", long.Predicted)
+		assert.Assert(t, long.Run == nil, "long prompts delay the next ones: %v", long.Predicted)
 		assert.Assert(t, p.Place(promptRequest(call("third part", 500, 4000), "behind")).Run != nil)
 	}
 }
 
-// TestPrefillSpeedIsLearnedFromFewRequests has engines read nine times faster than their
-// service is stated to produce, as in a fleet that has grown since.
+// TestPrefillSpeedIsLearnedFromFewRequests has engines prefill nine times faster than the stated
+// speed of their service, as in a fleet that has grown since the speed was stated.
 func TestPrefillSpeedIsLearnedFromFewRequests(t *testing.T) {
 	const actual = 0.02 // milliseconds a token
 	s := newLatencyEstimator()
--- a/place/latency_test.go
+++ b/place/latency_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// trainLatency has s learn requests of up to 30,000 tokens at a target that needs 50 ms
-// and 0.02 ms a token; late of each hundred take three seconds longer.
+// trainLatency trains s with requests of up to 30,000 tokens at a target that needs 50 ms and
+// 0.02 ms a token; late of each hundred take three seconds longer.
 func trainLatency(s *latencyEstimator, requests, late int) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range requests {
@@ -30,9 +30,9 @@
 	assert.Assert(t, s.predict(10_000) > 240*time.Millisecond && s.predict(10_000) < 260*time.Millisecond, "%v", s.predict(10_000))
 }
 
-// TestLateFirstEventsDoNotMoveTheLineMuch has some requests take far longer than
-// what waits explains, as at targets that fail.
-func TestLateFirstEventsDoNotMoveTheLineMuch(t *testing.T) {
+// TestLateFirstEventsDoNotMoveTheModelMuch has some requests take far longer than the pending
+// tokens explain, as at failing targets.
+func TestLateFirstEventsDoNotMoveTheModelMuch(t *testing.T) {
 	s := newLatencyEstimator()
 	s.setStatedSpeed(30_000)
 	trainLatency(s, 300, 0)
--- a/place/learning_test.go
+++ b/place/learning_test.go
@@ -13,16 +13,16 @@
 	"zinccove.example/zinccove/route"
 )
 
-// learningFleet is a fleet that starts before idle engines, which read forty times faster than
-// their service is stated to produce: far more engines than the fleet needs. Each router sees
-// a request a second.
+// learningFleet is a fleet that starts with idle engines, which prefill forty times faster than
+// the stated speed of their service: there are far more engines than the fleet needs. Each router
+// gets one request a second.
 type learningFleet struct {
 	clock   *clockwork.FakeClock
 	random  *rand.Rand
 	placers []*Placer
-	// shares tells whether routers learn from each other's answers.
+	// shares reports whether routers adopt models from each other's replies.
 	shares bool
-	// due are the first events to come.
+	// due are the pending first events.
 	due []dueEvent
 }
 
@@ -62,8 +62,8 @@
 	return l.placers[uint64(target)%uint64(len(l.placers))]
 }
 
-// run plays the traffic of customers of which one asks for most, and returns the ratios of
-// expected to actual times of what is placed after a time, and the part that is refused.
+// run simulates the traffic of customers, one of which requests the most. It returns the ratios
+// of predicted to actual times of what is placed after a time, and the share of refusals.
 func (l *learningFleet) run(d, after time.Duration) (ratios []float64, refused float64) {
 	asked, refusals := 0, 0
 	for now := time.Duration(0); now < d; now += 10 * time.Millisecond {
@@ -78,7 +78,7 @@
 				customer = fmt.Sprint(l.random.IntN(20))
 			}
 			q := promptRequest(call(fmt.Sprint(l.random.IntN(400)), 8000, 500+l.random.IntN(4000)), customer)
-			d := p.Place(q, l.answers(p, q)...)
+			d := p.Place(q, l.replies(p, q)...)
 			asked++
 			if d.Run == nil {
 				refusals++
@@ -110,7 +110,7 @@
 	l.due = left
 }
 
-func (l *learningFleet) answers(p *Placer, q Request) []Reply {
+func (l *learningFleet) replies(p *Placer, q Request) []Reply {
 	var list []Reply
 	for _, question := range p.Queries(q) {
 		owner := l.owner(question.Target)
@@ -127,7 +127,7 @@
 	return list
 }
 
-// sendUpdate tells the routers that answer for targets what a router did there.
+// sendUpdate sends the update of a router to the owners of the targets.
 func (l *learningFleet) sendUpdate(router int, p *Placer) {
 	n := p.TakeUpdate()
 	parts := make(map[*Placer]*Update)
@@ -154,9 +154,9 @@
 	}
 }
 
-// TestRoutersOfALargeFleetLearnFromEachOther replays the first seconds of a fleet with far
-// more engines than are stated, with routers that learn alone and with such that take each
-// other's lines. Idle engines refused customers ahead of others as they seemed to read many
+// TestRoutersOfALargeFleetLearnFromEachOther replays the first seconds of a fleet with far more
+// engines than stated, with routers that learn alone and with routers that adopt each other's
+// models. Idle engines refused customers ahead of others because they seemed to prefill many
 // times slower than they do.
 func TestRoutersOfALargeFleetLearnFromEachOther(t *testing.T) {
 	const routers, engines = 60, 600
@@ -164,14 +164,15 @@
 		alone, refusedAlone := newLearningFleet(t, routers, engines, false, seed).run(10*time.Second, 8*time.Second)
 		together, refused := newLearningFleet(t, routers, engines, true, seed).run(10*time.Second, 8*time.Second)
 		nine := func(ratios []float64) float64 { return ratios[len(ratios)*9/10] }
-		t.Logf("seed %d: expected over actual time, nine of ten: alone %.1f, together %.1f; refused %.3f, %.3f", seed, nine(alone), nine(together), refusedAlone, refused)
-		assert.Assert(t, nine(together) < 2, "nine of ten are expected within twice the actual time, not %v", nine(together))
+		t.Logf("seed %d: predicted over actual time, nine of ten: alone %.1f, together %.1f; refused %.3f, %.3f", seed, nine(alone), nine(together), refusedAlone, refused)
+		assert.Assert(t, nine(together) < 2, "nine of ten must be predicted within twice the actual time, not %v", nine(together))
 		assert.Assert(t, nine(together) < nine(alone))
 		assert.Assert(t, refused <= refusedAlone)
 	}
 }
 
-// TestModelsWithFewerSamplesAreNotAdopted has lines come that are older, empty or wrong.
+// TestModelsWithFewerSamplesAreNotAdopted checks that models with fewer samples and incomplete
+// ones are not adopted.
 func TestModelsWithFewerSamplesAreNotAdopted(t *testing.T) {
 	s := newLatencyEstimator()
 	s.setStatedSpeed(1000)
@@ -186,5 +187,5 @@
 	assert.Equal(t, s.LatencyModel, other)
 	s.Samples = minSamples
 	s.adopt(LatencyModel{Base: 50, PerToken: 5, Samples: 1000})
-	assert.Equal(t, s.PerToken, 0.02, "it has learned enough itself")
+	assert.Equal(t, s.PerToken, 0.02, "the router has enough samples of its own")
 }
--- a/place/notices_test.go
+++ b/place/notices_test.go
@@ -38,17 +38,18 @@
 	return d.Run
 }
 
-// TestOwnWordOfLeavingIsNotTakenBack has the store go on saying that a target is ready after
-// it said that it leaves, in all ways in which it can. Another run of it is used.
-func TestOwnWordOfLeavingIsNotTakenBack(t *testing.T) {
+// TestDrainingAnnouncementOverridesEntries has the store list a target as ready, in every
+// possible way, after the target announced that it is draining. A new incarnation of the target
+// is used.
+func TestDrainingAnnouncementOverridesEntries(t *testing.T) {
 	for _, service := range []string{"model", "plain"} {
 		t.Run(service, func(t *testing.T) {
 			p, clock := newTestPlacer(t)
 			run := runAt(t, p, service)
 			id := run.Target.ID
 			assert.Equal(t, run.ApplyNotice(notice.Notice{Leaving: true}), notice.Notice{Leaving: true})
-			assert.Equal(t, run.ApplyNotice(notice.Notice{Leaving: true}), notice.Notice{}, "told twice")
-			assert.Assert(t, run.Unavailable(), "it may have been placed before, and not sent yet")
+			assert.Equal(t, run.ApplyNotice(notice.Notice{Leaving: true}), notice.Notice{}, "the announcement was reported as new twice")
+			assert.Assert(t, run.Unavailable(), "a request may have been placed before and not be sent yet")
 			run.End(Answered)
 			all := append(targets("model", 9), targets("plain", 3)...)
 			without := make([]*roster.Target, 0, len(all))
@@ -74,15 +75,15 @@
 				}
 			}
 			p.SetTargets(all, table(t))
-			assert.Assert(t, placements(p, service)[id] > 0, "another run is not used")
+			assert.Assert(t, placements(p, service)[id] > 0, "the new incarnation is not used")
 			assert.Equal(t, len(p.AnnouncedDraining()), 0)
 		})
 	}
 }
 
-// TestWordsOfLeavingMayComeBeforeTheTable has another router tell of a target that is not
-// known yet, as it does to a router that starts.
-func TestWordsOfLeavingMayComeBeforeTheTable(t *testing.T) {
+// TestDrainingMayBeReportedBeforeTheTargetIsListed has another router report that a target is
+// draining before the target is listed, as happens to a router that starts.
+func TestDrainingMayBeReportedBeforeTheTargetIsListed(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	p.SetTargets(nil, table(t))
 	assert.Assert(t, p.MarkDraining(HashOf("plain-1")))
@@ -93,7 +94,7 @@
 	assert.Assert(t, used["plain-0"] > 0 && used["plain-2"] > 0, used)
 }
 
-func TestNoticesOfRunsThatAreGoneAreForgotten(t *testing.T) {
+func TestAnnouncementsExpire(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	for i := range maxAnnouncements + 10 {
 		p.MarkDraining(HashOf(fmt.Sprint(i)))
@@ -104,8 +105,9 @@
 	assert.Equal(t, len(p.announcements), 0)
 }
 
-// TestLastTargetThatLeavesIsNotUsed holds that callers are told at once.
-func TestLastTargetThatLeavesIsNotUsed(t *testing.T) {
+// TestLastDrainingTargetIsNotUsed checks that callers are refused immediately if all targets are
+// draining.
+func TestLastDrainingTargetIsNotUsed(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	for _, target := range targets("plain", 3) {
 		p.MarkDraining(HashOf(target.Incarnation()))
@@ -113,9 +115,9 @@
 	assert.Equal(t, placements(p, "plain")[string(NoTarget)], 60)
 }
 
-// TestTargetThatWantsABackoffGetsNothingUntilItsEnd holds it at the moments around the end,
-// with other targets and without.
-func TestTargetThatWantsABackoffGetsNothingUntilItsEnd(t *testing.T) {
+// TestTargetInBackoffGetsNoRequests checks the times just before and at the end of a backoff,
+// with other targets available.
+func TestTargetInBackoffGetsNoRequests(t *testing.T) {
 	const backoff = 3 * time.Second
 	for _, service := range []string{"model", "plain"} {
 		t.Run(service, func(t *testing.T) {
@@ -123,7 +125,7 @@
 			run := runAt(t, p, service)
 			id := run.Target.ID
 			assert.Equal(t, run.ApplyNotice(notice.Notice{Backoff: backoff}), notice.Notice{Backoff: backoff})
-			assert.Assert(t, run.Unavailable(), "it may have been placed before, and not sent yet")
+			assert.Assert(t, run.Unavailable(), "a request may have been placed before and not be sent yet")
 			run.End(Refused)
 			clock.Advance(backoff - time.Millisecond)
 			p.SetTargets(append(targets("model", 9), targets("plain", 3)...), table(t))
@@ -136,9 +138,9 @@
 	}
 }
 
-// TestCallersAreAskedBackWhenTheFirstTargetTakesRequests has all targets of a service ask for
-// backoffs of different length, one of them leave.
-func TestCallersAreAskedBackWhenTheFirstTargetTakesRequests(t *testing.T) {
+// TestRetryAfterIsTheEndOfTheFirstBackoff has all targets of a service ask for backoffs of
+// different lengths; one of them is draining.
+func TestRetryAfterIsTheEndOfTheFirstBackoff(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	for i, backoff := range []time.Duration{4 * time.Second, 2 * time.Second, time.Second} {
 		p.applyNotice(HashOf(fmt.Sprint("plain-", i)), notice.Notice{Backoff: backoff, Leaving: i == 2})
@@ -154,7 +156,7 @@
 		assert.Assert(t, d.RetryAfter >= 1500*time.Millisecond && d.RetryAfter <= 2*time.Second, d.RetryAfter)
 		told[d.RetryAfter] = true
 	}
-	assert.Assert(t, len(told) > 10, "all are asked back at the same time")
+	assert.Assert(t, len(told) > 10, "all callers get the same retry delay")
 	assert.Equal(t, p.Backoff("plain"), 1500*time.Millisecond)
 	assert.Equal(t, p.Backoff("model"), time.Duration(0))
 	clock.Advance(1500 * time.Millisecond)
@@ -163,12 +165,12 @@
 	for _, target := range targets("plain", 3) {
 		p.MarkDraining(HashOf(target.ID))
 	}
-	assert.Equal(t, p.Place(r).Reason, NoTarget, "none of them takes requests again")
+	assert.Equal(t, p.Place(r).Reason, NoTarget, "no target will accept requests again")
 	assert.Equal(t, p.Backoff("plain"), time.Duration(0))
 }
 
-// TestEngineIsGivenWorkByAndByAfterABackoff has an engine take streams that last.
-func TestEngineIsGivenWorkByAndByAfterABackoff(t *testing.T) {
+// TestLoadGrowsGraduallyAfterABackoff has an engine serve long streams after a backoff.
+func TestLoadGrowsGraduallyAfterABackoff(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	p.SetTargets(targets("model", 1), table(t))
 	run := runAt(t, p, "model")
@@ -196,7 +198,7 @@
 	assert.Assert(t, p.Place(r).Run != nil)
 }
 
-// TestTargetWithoutStatedSlotsIsUsedAfterABackoff has an entry that states no slots.
+// TestTargetWithoutStatedSlotsIsUsedAfterABackoff uses an entry that states no slots.
 func TestTargetWithoutStatedSlotsIsUsedAfterABackoff(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	list := targets("plain", 1)
--- a/place/place.go
+++ b/place/place.go
@@ -160,7 +160,7 @@
 	usage    map[Hash]*ring
 	// othersUsage sums up the reports of all peers. It is kept up to date so that a comparison of
 	// customers need not sum them up.
-	othersUsage useSums
+	othersUsage usageSums
 	// totals is the usage of the whole fleet; nil if no router sums it up.
 	totals *Totals
 	oldest oldestReport
@@ -204,18 +204,18 @@
 func New(o Options) *Placer {
 	return &Placer{
 		clock: o.Clock, regions: o.Regions, services: make(map[string]*service), targets: make(map[string]*target),
-		byHash: make(map[Hash]*target), peers: make(map[string]*peerReport), usage: make(map[Hash]*ring), othersUsage: make(useSums),
+		byHash: make(map[Hash]*target), peers: make(map[string]*peerReport), usage: make(map[Hash]*ring), othersUsage: make(usageSums),
 		announcements: make(map[Hash]*announcement), lastReceived: make(map[string]time.Time), cutOff: make(map[string]bool), assumeCached: o.AssumeCached, firstStart: !o.AssumeCached, started: o.Clock.Now(), changed: make(map[Hash]*target), busy: make(map[Hash]*target), updateReady: make(chan struct{}, 1),
 	}
 }
 
 // Place chooses a target and counts the request there, or refuses it. The replies are those to
 // Queries; they may be incomplete.
-func (p *Placer) Place(r Request, answers ...Reply) Decision {
+func (p *Placer) Place(r Request, replies ...Reply) Decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	known := p.applyReplies(answers, now)
+	byTarget := p.applyReplies(replies, now)
 	s := p.services[r.Service]
 	if s == nil {
 		return Decision{Reason: NoTarget, RetryAfter: noTargetRetry}
@@ -225,9 +225,9 @@
 		return Decision{Reason: NotAllowed, RetryAfter: noTargetRetry}
 	}
 	if s.engine == nil {
-		return p.placePlain(s, r, known, now)
+		return p.placePlain(s, r, byTarget, now)
 	}
-	return p.placeEngine(s, r, known, now)
+	return p.placeEngine(s, r, byTarget, now)
 }
 
 // noTargetRetry is the delay after which a caller may retry if there is no target: lists of
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -84,7 +84,7 @@
 	assert.Equal(t, p.Place(promptRequest(c, "c")).Run.Target.Address, first.Target.Address)
 }
 
-func TestFullHomeGivesWayToTheNextThenRefuses(t *testing.T) {
+func TestFullHomesOverflowToTheNextThenRefuse(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	used := make(map[string]int)
 	var refused Decision
@@ -105,18 +105,18 @@
 	p, _ := newTestPlacer(t)
 	long := call("long", 100, 90_000)
 	assert.Assert(t, p.Place(promptRequest(long, "c")).Run != nil)
-	assert.Assert(t, p.Place(promptRequest(long, "c")).Rank == 1, "the next one has another home")
+	assert.Assert(t, p.Place(promptRequest(long, "c")).Rank == 1, "the second request goes to the next home")
 	assert.Equal(t, p.Place(promptRequest(long, "c")).Reason, Overloaded)
 }
 
-// TestIdleTargetsTakeRequestsWhateverIsExpected has every request take far
-// longer than its objective. Refusing them while nothing waits at the targets
-// would end the learning, so the router would never find out that they recovered.
+// TestIdleTargetsTakeRequestsWhateverIsExpected has every request take far longer than its
+// objective. Refusing requests while no tokens are pending at the targets would give the router
+// no samples, so that it would never learn that the targets recovered.
 func TestIdleTargetsTakeRequestsWhateverIsExpected(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	for i := range 100 {
 		d := p.Place(promptRequest(call(fmt.Sprint(i), 100*i, 10), "c"))
-		assert.Assert(t, d.Run != nil, "request %d, expected time %v", i, d.Predicted)
+		assert.Assert(t, d.Run != nil, "request %d, predicted time %v", i, d.Predicted)
 		clock.Advance(2*time.Second + time.Duration(2*i)*time.Millisecond)
 		d.Run.FirstEvent(true)
 		d.Run.End(Answered)
@@ -135,12 +135,12 @@
 	assert.Equal(t, d.ReportAge, 70*time.Millisecond)
 	d.Run.End(Answered)
 	p.RemovePeer("other")
-	assert.Equal(t, p.Place(promptRequest(c, "c")).Rank, 1, "what a router sent waits also when it is lost")
+	assert.Equal(t, p.Place(promptRequest(c, "c")).Rank, 1, "the tokens that a failed router sent are still pending")
 	clock.Advance(2 * time.Second)
 	assert.Equal(t, p.Place(promptRequest(c, "c")).Run.Target.ID, home.Target.ID)
 }
 
-func TestPartsReadByOtherRoutersAreKept(t *testing.T) {
+func TestPartsPrefilledForOtherRoutersAreCached(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := call("part", 20_000, 10)
 	d := p.Place(promptRequest(c, "c"))
@@ -150,15 +150,14 @@
 	news := p.TakeUpdate()
 	assert.Equal(t, len(news.Prefills), 1)
 	again := p.TakeUpdate()
-	assert.Assert(t, again.Empty(), "taken twice")
+	assert.Assert(t, again.Empty(), "the update was returned twice")
 	other.ApplyReport("p", Report{Update: news})
 	assert.Equal(t, other.Place(promptRequest(c, "c")).PrefillTokens, 10)
 }
 
-// TestTargetsFoundAtAStartKeepWhatIsInUse has a router start into a fleet that
-// runs: its targets keep prompts that it never placed, those that start later
-// keep nothing.
-func TestTargetsFoundAtAStartKeepWhatIsInUse(t *testing.T) {
+// TestTargetsFoundAtStartHaveCachedParts starts a router in a running fleet: the targets that it
+// finds have prompts cached that it never placed; targets that start later have nothing cached.
+func TestTargetsFoundAtStartHaveCachedParts(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	p := New(Options{Clock: clock, AssumeCached: true})
 	p.SetTargets(nil, table(t))
@@ -172,10 +171,10 @@
 	p.SetTargets([]*roster.Target{{ID: "new", Service: "model", Slots: 64}}, table(t))
 	assert.Equal(t, unread("b"), 1010)
 	p.SetTargets(targets("model", 1), table(t))
-	assert.Equal(t, unread("b"), 1010, "it was gone, so it may have started again")
+	assert.Equal(t, unread("b"), 1010, "the target was removed, so it may have restarted")
 }
 
-func TestWhatTargetsFoundAtAStartKeepIsForgotten(t *testing.T) {
+func TestAssumedCacheExpires(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	p := New(Options{Clock: clock, AssumeCached: true})
 	p.SetTargets(targets("model", 1), table(t))
@@ -183,7 +182,7 @@
 	assert.Equal(t, p.Place(promptRequest(call("a", 1000, 10), "c")).PrefillTokens, 1010)
 }
 
-func TestPartsAreForgottenWhenTheMemoryWasReadOver(t *testing.T) {
+func TestPartsAreEvictedWhenMemoryIsRefilled(t *testing.T) {
 	var k prefixCache
 	k.touch([]Hash{1}, 10)
 	assert.Assert(t, k.contains(1, 1000))
@@ -204,7 +203,7 @@
 	}
 }
 
-func TestDrainingTriedAndFailingTargetsAreLeftAlone(t *testing.T) {
+func TestDrainingTriedAndFailingTargetsAreAvoided(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	p := New(Options{Clock: clock})
 	list := targets("plain", 3)
@@ -223,7 +222,7 @@
 	assert.Equal(t, p.Place(r).Run.Target.ID, "plain-2", "tried again after the pause")
 }
 
-func TestRunKnowsThatItsTargetLeaves(t *testing.T) {
+func TestRunReportsUnavailableTarget(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := call("part", 1000, 10)
 	replaced, other := p.Place(promptRequest(c, "c")).Run, p.Place(promptRequest(c, "c")).Run
@@ -237,7 +236,7 @@
 	assert.Assert(t, next.Unavailable())
 }
 
-func TestOnlyDoubtfulTargetsAreBetterThanNone(t *testing.T) {
+func TestDegradedTargetsAreUsedIfThereAreNoOthers(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	r := Request{Service: "plain", Call: new(message.Call)}
 	for range 3 * openAfter {
@@ -246,7 +245,7 @@
 	assert.Assert(t, p.Place(r).Run != nil)
 }
 
-func TestGreyTargetIsLeftAloneForAWhile(t *testing.T) {
+func TestGrayFailingTargetIsAvoidedForAWhile(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	r := Request{Service: "plain", Call: new(message.Call)}
 	place := func() (grey int) {
@@ -269,7 +268,7 @@
 	assert.Assert(t, place() > 0, "tried again")
 }
 
-func TestServiceThatFailsEverywhereKeepsAllTargets(t *testing.T) {
+func TestAllTargetsAreUsedIfAllFail(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	used := make(map[string]bool)
 	for range 90 {
@@ -284,7 +283,7 @@
 	assert.Equal(t, len(used), 3)
 }
 
-func TestSilentDataCentreIsLeftAlone(t *testing.T) {
+func TestSilentDataCentreIsAvoided(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	p := New(Options{Clock: clock})
 	list := targets("plain", 2)
@@ -296,7 +295,7 @@
 	clock.Advance(MinSilence / 2)
 	run.RecordReceived()
 	clock.Advance(MinSilence/2 + time.Millisecond)
-	assert.Equal(t, len(p.SetHeartbeats(beats, MinSilence)), 0, "its target was heard")
+	assert.Equal(t, len(p.SetHeartbeats(beats, MinSilence)), 0, "data was received from its target")
 	clock.Advance(MinSilence)
 	assert.DeepEqual(t, p.SetHeartbeats(beats, MinSilence), []string{"there"})
 	assert.Assert(t, run.CutOff())
@@ -354,9 +353,9 @@
 	}
 }
 
-// TestEvacuatedDataCentreGetsNothing has operators evacuate the data centre of most
-// targets, also of one that was chosen before.
-func TestEvacuatedDataCentreGetsNothing(t *testing.T) {
+// TestEvacuatedDataCentreGetsNoRequests evacuates the data centre of most targets, including one
+// that was chosen before.
+func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	list := targets("model", 9)
 	for i, target := range list {
@@ -380,8 +379,8 @@
 	assert.Equal(t, p.Place(promptRequest(call("part", 500, 100), "c")).Reason, NoTarget)
 }
 
-// TestColdTargetsThatBearLittleAreSpared has half of the targets cold for a second.
-func TestColdTargetsThatBearLittleAreSpared(t *testing.T) {
+// TestTargetsWarmingUpAreAvoided has half of the targets warm up for a second.
+func TestTargetsWarmingUpAreAvoided(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	tab := table(t)
 	tab.Services[0].ColdRate = 6
@@ -407,5 +406,5 @@
 	assert.Equal(t, coldOnes(), 0)
 	clock.Advance(time.Second)
 	p.SetTargets(list, tab)
-	assert.Assert(t, coldOnes() > 0, "an entry that did not change does not make it cold again")
+	assert.Assert(t, coldOnes() > 0, "an unchanged entry does not start another warm-up")
 }
--- a/place/plain.go
+++ b/place/plain.go
@@ -29,15 +29,15 @@
 // four targets leave, 241 calls a second, replayed over 16 routers). A target with a free slot
 // accepts a call whatever the prediction: a refusal would leave it idle, and a router whose
 // predictions are too high would get no samples to correct them.
-func (p *Placer) placePlain(s *service, r Request, known repliesByTarget, now time.Time) Decision {
-	t := p.leastBusy(s, r, known, now)
+func (p *Placer) placePlain(s *service, r Request, replies repliesByTarget, now time.Time) Decision {
+	t := p.leastBusy(s, r, replies, now)
 	if t == nil {
 		return p.refuseNoTarget(s, &r, now)
 	}
 	d := Decision{
 		Share:       p.currentShares(now).callLimitFactor(r.Customer),
 		Outstanding: t.outstanding(), HasFreeSlot: t.outstanding() < t.Slots,
-		Replies: len(known), ReportAge: p.oldestReportAge(now),
+		Replies: len(replies), ReportAge: p.oldestReportAge(now),
 	}
 	if s.slotTime.known() {
 		d.Wait = s.slotTime.untilFree(d.Outstanding, t.Slots)
@@ -53,9 +53,9 @@
 
 // leastBusy returns the target with the fewest requests per slot, nil if there is none. It
 // chooses among the targets that replied, unless all of these have become unusable meanwhile.
-func (p *Placer) leastBusy(s *service, r Request, known repliesByTarget, now time.Time) *target {
-	if len(known) > 0 {
-		if t := p.leastBusyOf(s, r, known, now); t != nil {
+func (p *Placer) leastBusy(s *service, r Request, replies repliesByTarget, now time.Time) *target {
+	if len(replies) > 0 {
+		if t := p.leastBusyOf(s, r, replies, now); t != nil {
 			return t
 		}
 	}
@@ -64,7 +64,7 @@
 
 // leastBusyOf chooses among the targets of the replies, or among all targets if there are no
 // replies.
-func (p *Placer) leastBusyOf(s *service, r Request, known repliesByTarget, now time.Time) *target {
+func (p *Placer) leastBusyOf(s *service, r Request, replies repliesByTarget, now time.Time) *target {
 	var (
 		best   *target
 		graded grade
@@ -73,7 +73,7 @@
 	for i := range s.targets {
 		t := s.targets[(start+i)%len(s.targets)]
 		g := p.grade(s, t, r, now)
-		if _, asked := known[t.hash]; len(known) > 0 && !asked {
+		if _, asked := replies[t.hash]; len(replies) > 0 && !asked {
 			continue
 		}
 		p.expireReply(t, now)
--- a/place/plain_test.go
+++ b/place/plain_test.go
@@ -16,46 +16,46 @@
 )
 
 const (
-	// plainRouters is the number of routers of the replay.
+	// plainRouters is the number of routers of the simulation.
 	plainRouters = 16
-	// plainSlots is the number of slots of a target, plainQueue that of calls that it lets
-	// wait, plainWork how long a call holds a slot.
+	// plainSlots is the number of slots of a target, plainQueue the number of calls in its queue,
+	// plainWork the mean time for which a call holds a slot.
 	plainSlots = 6
 	plainQueue = 24
 	plainWork  = 60 * time.Millisecond
-	// plainRate is in calls a second. Four targets carry 400, two carry 200.
+	// plainRate is in calls a second. Four targets can serve 400, two can serve 200.
 	plainRate      = 241.0
 	plainObjective = 300 * time.Millisecond
 	plainDeadline  = 1500 * time.Millisecond
 )
 
-// plainCall is a call at a target or on its way back.
+// plainCall is a call at a target or one that will be retried.
 type plainCall struct {
 	customer string
 	asked    time.Time
-	// returned tells that it was refused before.
-	returned bool
-	run      *Run
-	ends     time.Time
+	// retried reports whether the call was refused before.
+	retried bool
+	run     *Run
+	ends    time.Time
 }
 
-// plainTarget serves calls in their order.
+// plainTarget serves calls in order of arrival.
 type plainTarget struct {
 	running, waiting []*plainCall
 }
 
-// plainTally counts how calls ended.
+// plainTally counts the outcomes of calls.
 type plainTally struct {
 	asked, inTime, late, shed, refusedForGood int
 	returned, returnedInTime                  int
 	admitted                                  int
 }
 
-// plainFleet drives routers before targets of a plain service.
+// plainFleet drives routers for targets of a plain service.
 type plainFleet struct {
 	routers
 	servers map[string]*plainTarget
-	// retrying holds the callers that come back, with the time when they do.
+	// retrying holds the calls that will be retried, with the time of the retry.
 	retrying map[*plainCall]time.Time
 	tallies  map[string]*plainTally
 	total    plainTally
@@ -74,7 +74,7 @@
 	return f
 }
 
-// setTargets makes the first n targets those that there are.
+// setTargets makes the first n targets the only ones.
 func (f *plainFleet) setTargets(t *testing.T, n int) {
 	t.Helper()
 	list := targets("plain", n)
@@ -94,7 +94,7 @@
 	}
 }
 
-// tally counts for a customer and for all.
+// tally counts an outcome for a customer and for all customers.
 func (f *plainFleet) tally(customer string, count func(*plainTally)) {
 	if f.tallies[customer] == nil {
 		f.tallies[customer] = new(plainTally)
@@ -103,7 +103,7 @@
 	count(&f.total)
 }
 
-// run plays traffic: rates in calls a second by customer.
+// run simulates traffic with the given rates in calls a second by customer.
 func (f *plainFleet) run(d time.Duration, rates map[string]float64) {
 	names := make([]string, 0, len(rates))
 	for name := range rates {
@@ -124,7 +124,7 @@
 	}
 }
 
-// retry has callers return whose time has come.
+// retry places the calls whose retry is due.
 func (f *plainFleet) retry() {
 	for c, at := range f.retrying {
 		if !at.After(f.clock.Now()) {
@@ -137,20 +137,20 @@
 func (f *plainFleet) place(c *plainCall) {
 	router := f.random.IntN(len(f.placers))
 	r := Request{Service: "plain", Customer: c.customer, Objective: plainObjective, Call: new(message.Call)}
-	d := f.placers[router].Place(r, f.answers(router, r)...)
+	d := f.placers[router].Place(r, f.replies(router, r)...)
 	switch {
 	case d.Run != nil:
 		f.send(c, d.Run)
-	case c.returned:
+	case c.retried:
 		f.tally(c.customer, func(t *plainTally) { t.refusedForGood++ })
 	default:
-		c.returned = true
+		c.retried = true
 		f.tally(c.customer, func(t *plainTally) { t.returned++ })
 		f.retrying[c] = f.clock.Now().Add(min(d.RetryAfter, plainDeadline/3))
 	}
 }
 
-// send gives a call to its target, which turns it away if its queue is full.
+// send sends a call to its target, which refuses it if its queue is full.
 func (f *plainFleet) send(c *plainCall, run *Run) {
 	f.tally(c.customer, func(t *plainTally) { t.admitted++ })
 	server := f.servers[run.Target.ID]
@@ -188,7 +188,7 @@
 		switch {
 		case now.Sub(c.asked) > plainObjective:
 			t.late++
-		case c.returned:
+		case c.retried:
 			t.returnedInTime++
 			fallthrough
 		default:
@@ -197,9 +197,9 @@
 	})
 }
 
-// TestHalfOfThePlainTargetsLeave replays the worst load of plain services: two of four
-// targets leave, 241 calls a second are asked, and 12 slots of 60 ms carry 200. Without
-// a bound 64 calls of 100 were answered in their objective, and targets turned away 16.
+// TestHalfOfThePlainTargetsLeave replays the worst load of plain services: two of four targets
+// leave, 241 calls a second are requested, and 12 slots of 60 ms can serve 200. Without a limit
+// 64 of 100 calls were answered within their objective, and targets refused 16.
 func TestHalfOfThePlainTargetsLeave(t *testing.T) {
 	for seed := range uint64(3) {
 		f := newPlainFleet(t, seed)
@@ -208,27 +208,27 @@
 			rates[fmt.Sprint(i)] = plainRate / 10
 		}
 		f.run(5*time.Second, rates)
-		assert.Assert(t, f.total.inTime > f.total.asked*95/100, "all is served while all targets are there: %+v", f.total)
+		assert.Assert(t, f.total.inTime > f.total.asked*95/100, "all calls are served while all targets run: %+v", f.total)
 		f.setTargets(t, 2)
 		f.run(2*time.Second, rates)
 		f.total = plainTally{}
 		f.run(10*time.Second, rates)
 		t.Logf("seed %d: %+v", seed, f.total)
 		assert.Assert(t, f.total.inTime > f.total.asked*70/100, "%+v", f.total)
-		assert.Assert(t, f.total.late < f.total.admitted*5/100, "what is admitted is in time: %+v", f.total)
-		assert.Assert(t, f.total.shed < f.total.admitted*2/100, "targets turn little away: %+v", f.total)
+		assert.Assert(t, f.total.late < f.total.admitted*5/100, "admitted calls are answered in time: %+v", f.total)
+		assert.Assert(t, f.total.shed < f.total.admitted*2/100, "targets refuse few calls: %+v", f.total)
 		f.setTargets(t, 4)
 		f.run(time.Second, rates)
 		f.total = plainTally{}
 		f.run(3*time.Second, rates)
-		assert.Assert(t, f.total.inTime > f.total.asked*95/100, "nothing is refused for long once targets are back: %+v", f.total)
+		assert.Assert(t, f.total.inTime > f.total.asked*95/100, "refusals end soon after the targets return: %+v", f.total)
 	}
 }
 
-// TestFloodOfPlainCallsLeavesOthersTheirSlots has one customer ask for as much as all
-// targets carry, beside ten that ask for their usual. Refused alike, those lost as many
-// of their calls as the flood did.
-func TestFloodOfPlainCallsLeavesOthersTheirSlots(t *testing.T) {
+// TestFloodOfPlainCallsDoesNotStarveOthers has one customer request as many calls as all targets
+// can serve, beside ten customers with their usual load. When all were refused alike, these ten
+// lost as many of their calls as the flood did.
+func TestFloodOfPlainCallsDoesNotStarveOthers(t *testing.T) {
 	for seed := range uint64(3) {
 		f := newPlainFleet(t, seed)
 		rates := map[string]float64{"flood": 400}
@@ -243,19 +243,19 @@
 		others := f.total.inTime - flood.inTime
 		asked := f.total.asked - flood.asked
 		assert.Assert(t, others > asked*97/100, "%d of %d", others, asked)
-		assert.Assert(t, f.total.inTime > 8*400*90/100, "no slot idles: %+v", f.total)
+		assert.Assert(t, f.total.inTime > 8*400*90/100, "no slot is idle: %+v", f.total)
 	}
 }
 
-// TestPlainLoadsAreToldSoon holds that others need not wait for the next look at what is
-// due: a call holds a slot about as long as that takes.
-func TestPlainLoadsAreToldSoon(t *testing.T) {
+// TestPlainLoadsAreSignalled checks that changes of load are sent without waiting for the next
+// tick: a call holds a slot for about as long as that takes.
+func TestPlainLoadsAreSignalled(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	told := func() int {
 		select {
 		case <-p.UpdateReady():
 		default:
-			t.Fatal("nothing is signalled")
+			t.Fatal("the update is not signalled")
 		}
 		news := p.TakeUpdate()
 		requests := 0
@@ -270,15 +270,15 @@
 	assert.Equal(t, told(), 0)
 }
 
-// TestBoundOfPlainCallsIsLearned has a service whose calls take longer than it seems at
-// first, and one of which nothing is known.
-func TestBoundOfPlainCallsIsLearned(t *testing.T) {
+// TestLimitOfPlainCallsIsLearned uses a service whose slot time is not known at first, and then
+// is longer than before.
+func TestLimitOfPlainCallsIsLearned(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	r := Request{Service: "plain", Objective: plainObjective, Call: new(message.Call)}
 	var runs []*Run
 	for range 3 * 64 * 4 {
 		d := p.Place(r)
-		assert.Assert(t, d.Run != nil, "nothing is bound before the time of a slot is known")
+		assert.Assert(t, d.Run != nil, "no call is refused before the slot time is known")
 		runs = append(runs, d.Run)
 	}
 	clock.Advance(4 * plainWork)
@@ -288,7 +288,7 @@
 	hold := p.service("plain").slotTime.mean
 	assert.Assert(t, hold > plainWork/2 && hold < 2*plainWork, "%v", hold)
 	p.service("plain").slotTime.mean = time.Second
-	assert.Assert(t, p.Place(r).Run != nil, "a free slot is used whatever is expected")
+	assert.Assert(t, p.Place(r).Run != nil, "a free slot is used whatever the prediction")
 	for range 3 * 64 {
 		p.Place(r)
 	}
@@ -297,10 +297,10 @@
 	assert.Assert(t, d.RetryAfter >= 500*time.Millisecond && d.RetryAfter <= maxRetryAfter)
 }
 
-// TestAskedTargetsThatLeaveMeanwhileAreNotAllThereAre has the two targets that were asked about
-// say something of themselves before their routers answer: the call was refused with no_target,
-// although a third one was idle.
-func TestAskedTargetsThatLeaveMeanwhileAreNotAllThereAre(t *testing.T) {
+// TestOtherTargetsAreUsedIfQueriedOnesBecomeUnusable has the two queried targets send a notice
+// before their owners reply: the call was refused with no_target although a third target was
+// idle.
+func TestOtherTargetsAreUsedIfQueriedOnesBecomeUnusable(t *testing.T) {
 	for name, n := range map[string]notice.Notice{"backoff": {Backoff: time.Second}, "leaving": {Leaving: true}} {
 		t.Run(name, func(t *testing.T) {
 			p, _ := newTestPlacer(t)
--- a/place/query.go
+++ b/place/query.go
@@ -56,16 +56,16 @@
 	}
 	pr := newPrompt(r.Call)
 	var list []Query
-	ask := func(t *target, first bool) {
+	addQuery := func(t *target, first bool) {
 		list = append(list, Query{Target: t.hash, PrefixParts: pr.prefixParts, PartTokens: pr.partTokens, PromptTokens: pr.total, FirstHome: first})
 	}
-	homes, left := p.homes(s, r, now)
+	homes, formerHomes := p.homes(s, r, now)
 	for rank, t := range homes {
-		ask(t, rank == 0)
+		addQuery(t, rank == 0)
 	}
 	if s.engine.CopyRate > 0 && len(pr.prefixParts) > 0 {
-		for _, t := range left {
-			ask(t, true)
+		for _, t := range formerHomes {
+			addQuery(t, true)
 		}
 	}
 	return list
@@ -116,21 +116,21 @@
 type repliesByTarget map[Hash]Reply
 
 // applyReplies replaces the estimates for the targets of replies by the owners' figures.
-func (p *Placer) applyReplies(answers []Reply, now time.Time) repliesByTarget {
-	known := make(repliesByTarget, len(answers))
-	for _, a := range answers {
+func (p *Placer) applyReplies(replies []Reply, now time.Time) repliesByTarget {
+	byTarget := make(repliesByTarget, len(replies))
+	for _, a := range replies {
 		t := p.byHash[a.Target]
 		if t == nil {
 			continue
 		}
-		known[a.Target] = a
+		byTarget[a.Target] = a
 		p.service(t.Service).latency.adopt(a.LatencyModel)
 		t.slow = slowness{log: math.Log(min(max(a.Slowness, 1/maxSlowness), maxSlowness)), at: now}
 		t.queue.set(a.PendingTokens, now)
 		t.others.Requests = max(a.Requests-t.own.Requests, 0)
 		t.repliedAt = now
 	}
-	return known
+	return byTarget
 }
 
 // replyTTL is the time for which a reply overrides this router's own estimate: a few times as
@@ -173,8 +173,8 @@
 func (p *Placer) markOwned(target Hash) {
 	now := p.clock.Now()
 	// At the first start of a fleet, its targets have cached nothing.
-	began := p.firstStart && now.Sub(p.started) < assumeCachedTTL
-	if t := p.byHash[target]; t != nil && !p.owned[target] && !began && !t.startedLater {
+	justStarted := p.firstStart && now.Sub(p.started) < assumeCachedTTL
+	if t := p.byHash[target]; t != nil && !p.owned[target] && !justStarted && !t.startedLater {
 		t.assumeCachedUntil = now.Add(assumeCachedTTL)
 	}
 }
--- a/place/query_test.go
+++ b/place/query_test.go
@@ -8,13 +8,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// firstHomeReply is what a router answers about the first home of a request.
+// firstHomeReply returns the reply of a router about the first home of a request.
 func firstHomeReply(p *Placer, r Request) Reply {
 	a, _ := p.Reply(p.Queries(r)[0])
 	return a
 }
 
-// TestRepliesOverrideOwnEstimates has another router place most of what waits.
+// TestRepliesOverrideOwnEstimates has another router place most of the pending tokens.
 func TestRepliesOverrideOwnEstimates(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	r := promptRequest(call("part", 1000, 10), "c")
@@ -25,13 +25,13 @@
 	assert.Equal(t, d.Replies, 2)
 	assert.Equal(t, d.Backlog, 300)
 	assert.Equal(t, d.Outstanding, 3)
-	assert.Equal(t, d.PrefillTokens, 10, "another router's prompt had the shared part read")
+	assert.Equal(t, d.PrefillTokens, 10, "the shared part was prefilled for another router's prompt")
 	slow := p.Place(r, Reply{Target: q[0].Target, Slowness: 6, PrefillTokens: 10}, Reply{Target: q[1].Target, PrefillTokens: 1010, Slowness: 1})
-	assert.Equal(t, slow.Rank, 1, "the home is slow, as another router says")
+	assert.Equal(t, slow.Rank, 1, "the home is slow according to its owner")
 }
 
-// TestOwnerLearnsFromOthersFirstEvents holds that it knows what waits
-// without a request of its own, as long as engines read slower than it thinks.
+// TestOwnerLearnsFromOthersFirstEvents checks that the owner knows the pending tokens without a
+// request of its own while engines prefill slower than it assumes.
 func TestOwnerLearnsFromOthersFirstEvents(t *testing.T) {
 	asked, clock := newTestPlacer(t)
 	other, _ := newTestPlacer(t)
@@ -46,11 +46,11 @@
 	before := firstHomeReply(asked, r)
 	assert.Equal(t, before.Requests, 2)
 	clock.Advance(250 * time.Millisecond)
-	assert.Equal(t, firstHomeReply(asked, r).PendingTokens, 0, "all was read, as it believes")
+	assert.Equal(t, firstHomeReply(asked, r).PendingTokens, 0, "the owner assumes that all tokens were prefilled")
 	runs[0].FirstEvent(true)
 	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
 	after := firstHomeReply(asked, r)
-	assert.Assert(t, after.PendingTokens > 1_000, "the second prompt waits still: %d", after.PendingTokens)
+	assert.Assert(t, after.PendingTokens > 1_000, "the second prompt is still waiting: %d", after.PendingTokens)
 	assert.Assert(t, after.Slowness != before.Slowness)
 	for _, run := range runs {
 		run.End(Answered)
@@ -59,8 +59,8 @@
 	assert.Equal(t, firstHomeReply(asked, r).Requests, 0)
 }
 
-// TestTimesOfALateRouterAreIgnored has a router that is behind see every first
-// event late.
+// TestTimesOfALateRouterAreIgnored has a router that is running late receive every first event
+// late.
 func TestTimesOfALateRouterAreIgnored(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	r := promptRequest(call("part", 0, 100), "c")
@@ -75,7 +75,7 @@
 	assert.Equal(t, p.Place(r).Slowness, 1.0)
 }
 
-// TestLoadsAreRepeatedAndExpire has the news of an end get lost.
+// TestLoadsAreRepeatedAndExpire loses the update about the end of a request.
 func TestLoadsAreRepeatedAndExpire(t *testing.T) {
 	asked, clock := newTestPlacer(t)
 	other, _ := newTestPlacer(t)
@@ -92,14 +92,14 @@
 	asked.ExpireLoads()
 	assert.Equal(t, firstHomeReply(asked, r).Requests, 1)
 	run.End(Answered)
-	other.TakeUpdate() // lost on the way
+	other.TakeUpdate() // lost in transit
 	clock.Advance(loadTTL)
 	asked.ExpireLoads()
 	assert.Equal(t, firstHomeReply(asked, r).Requests, 0)
 }
 
-// TestNewlyOwnedTargetsCountAsCached has a router begin to answer for a target of a fleet
-// that runs.
+// TestNewlyOwnedTargetsCountAsCached has a router become the owner of a target in a running
+// fleet.
 func TestNewlyOwnedTargetsCountAsCached(t *testing.T) {
 	for _, warm := range []bool{true, false} {
 		p, clock := newTestPlacer(t)
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestPlainTargetsAreChosenByReplies has one of two targets that were asked about be
-// full of other routers' requests.
+// TestPlainTargetsAreChosenByReplies fills one of the two queried targets with requests of other
+// routers.
 func TestPlainTargetsAreChosenByReplies(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	for range 50 {
@@ -133,7 +133,7 @@
 	}
 }
 
-// engines12 returns a placer before engines with 12 slots.
+// engines12 returns a placer for engines with 12 slots.
 func engines12(t *testing.T) *Placer {
 	t.Helper()
 	p, _ := newTestPlacer(t)
@@ -145,9 +145,9 @@
 	return p
 }
 
-// TestFullEngineAdmitsWhatMeetsTheObjective replays hot prompts on engines
-// of 12 slots: all slots of a home are taken while it has nothing to read. Refused for
-// that alone, half of all refusals were at such homes.
+// TestFullEngineAdmitsWhatMeetsTheObjective replays frequent prompts on engines with 12 slots:
+// all slots of a home are taken while it has no pending tokens. When such homes refused every
+// request, they caused half of all refusals.
 func TestFullEngineAdmitsWhatMeetsTheObjective(t *testing.T) {
 	p := engines12(t)
 	r := promptRequest(call("hot", 1000, 10), "c")
@@ -162,15 +162,15 @@
 	free := at(11)
 	assert.Assert(t, free.Run != nil && free.Wait == 0)
 	full := at(12)
-	assert.Assert(t, full.Run != nil, "one of twelve that last a second ends soon")
+	assert.Assert(t, full.Run != nil, "one of twelve requests of a second each ends soon")
 	assert.Assert(t, full.Wait >= 50*time.Millisecond && full.Wait < 150*time.Millisecond, full.Wait)
 	far := at(24)
-	assert.Equal(t, far.Reason, Overloaded, "thirteen have to end before")
-	assert.Assert(t, far.RetryAfter > minRetryAfter, "the caller is told when a slot is free: %v", far.RetryAfter)
+	assert.Equal(t, far.Reason, Overloaded, "thirteen requests have to end first")
+	assert.Assert(t, far.RetryAfter > minRetryAfter, "the caller may retry when a slot is free: %v", far.RetryAfter)
 }
 
-// TestManySlotsDoNotLimit holds that engines with many slots are bound by what they
-// read.
+// TestManySlotsDoNotLimit checks that slots do not limit engines that have many of them; pending
+// tokens do.
 func TestManySlotsDoNotLimit(t *testing.T) {
 	for _, slots := range []int{32, 64, 128} {
 		h := newSlotTime()
@@ -187,14 +187,14 @@
 	assert.Assert(t, h.mean < 320*time.Millisecond, h.mean)
 }
 
-// TestOldRepliesExpire has the router that answers for full homes fall silent.
+// TestOldRepliesExpire has the owner of full homes stop replying.
 func TestOldRepliesExpire(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	r := promptRequest(call("hot", 1000, 10), "c")
 	q := p.Queries(r)
 	full := func(x Query) Reply { return Reply{Target: x.Target, Requests: 200, PrefillTokens: 10, Slowness: 1} }
 	assert.Equal(t, p.Place(r, full(q[0]), full(q[1])).Reason, Overloaded)
-	assert.Equal(t, p.Place(r).Reason, Overloaded, "nobody answers")
+	assert.Equal(t, p.Place(r).Reason, Overloaded, "no router replies")
 	clock.Advance(replyTTL)
 	assert.Assert(t, p.Place(r).Run != nil)
 }
--- a/place/queue_test.go
+++ b/place/queue_test.go
@@ -18,36 +18,36 @@
 	q.advance(start.Add(100*time.Millisecond), 50)
 	assert.Equal(t, q.pending, 5000.0)
 	q.advance(start, 50)
-	assert.Equal(t, q.pending, 5000.0, "a clock that stands still drains nothing")
+	assert.Equal(t, q.pending, 5000.0, "nothing is prefilled if the time does not advance")
 	q.advance(start.Add(time.Second), 50)
 	assert.Equal(t, q.pending, 0.0)
 }
 
-func TestFirstEventSetsTheQueueRight(t *testing.T) {
+func TestFirstEventCorrectsTheQueue(t *testing.T) {
 	var q prefillQueue
 	place := q.add(4000)
 	q.add(9000)
 	now := time.Now()
 	q.reached(place, 2000, now)
-	assert.Equal(t, q.pending, 7000.0, "what was sent after it waits, but for what was read meanwhile")
+	assert.Equal(t, q.pending, 7000.0, "tokens sent later are pending, less what was prefilled meanwhile")
 	q.reached(q.sent, 2000, now)
 	assert.Equal(t, q.pending, 0.0)
 }
 
-func TestRunsThatEndUnreadLeaveTheQueue(t *testing.T) {
+func TestUnprefilledRunsLeaveTheQueue(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := call("part", 0, 5000)
 	p.Place(promptRequest(c, "c")).Run.End(Refused)
 	assert.Equal(t, p.Place(promptRequest(c, "c")).Backlog, 0)
 }
 
-// engine is a target that reads prompts in order of arrival.
+// engine is a target that prefills prompts in order of arrival.
 type engine struct {
 	base, perToken time.Duration
 	free           time.Time
 }
 
-// firstEvent is when a prompt that arrives now has its first event.
+// firstEvent returns the time of the first event of a prompt that arrives now.
 func (e *engine) firstEvent(now time.Time, unread int) time.Time {
 	if e.free.Before(now) {
 		e.free = now
@@ -56,14 +56,14 @@
 	return e.free.Add(e.base)
 }
 
-// fleet drives a placer with requests at engines.
+// fleet drives a placer with requests to engines.
 type fleet struct {
 	placer  *Placer
 	clock   *clockwork.FakeClock
 	engines map[string]*engine
 	random  *rand.Rand
 	pending map[*Run]time.Time
-	// off sums the distances between expected and actual times.
+	// off sums the differences between predicted and actual times.
 	off  time.Duration
 	seen int
 }
@@ -80,8 +80,8 @@
 	return f
 }
 
-// run plays traffic of a request each 20 ms, and returns the mean distance
-// between expected and actual times of first events.
+// run simulates a request every 20 ms, and returns the mean difference between predicted and
+// actual times of first events.
 func (f *fleet) run(d time.Duration) time.Duration {
 	f.off, f.seen = 0, 0
 	for end := f.clock.Now().Add(d); f.clock.Now().Before(end); f.clock.Advance(time.Millisecond) {
@@ -123,9 +123,8 @@
 	assert.Assert(t, off < 15*time.Millisecond, "mean error %v of %d", off, f.seen)
 }
 
-// TestModelRecoversFromOtherSpeeds has all engines change at once to five times
-// slower, then to as fast as before; after two seconds of traffic the router
-// expects what it sees again.
+// TestModelRecoversFromOtherSpeeds makes all engines five times slower at once, then as fast as
+// before. After two seconds of traffic the router's predictions must be right again.
 func TestModelRecoversFromOtherSpeeds(t *testing.T) {
 	f := newFleet(t)
 	f.run(3 * time.Second)
@@ -136,12 +135,12 @@
 		before := f.run(200 * time.Millisecond)
 		f.run(2 * time.Second)
 		after := f.run(2 * time.Second)
-		assert.Assert(t, after < factor*40*time.Millisecond, "%dx: mean error %v, at once after the change %v", factor, after, before)
+		assert.Assert(t, after < factor*40*time.Millisecond, "%dx: mean error %v, immediately after the change %v", factor, after, before)
 	}
 }
 
-// TestSlowTargetIsExpectedToBeSlow has one of nine engines turn four times
-// slower: the others are expected as before.
+// TestSlowTargetIsExpectedToBeSlow makes one of nine engines four times slower. The predictions
+// for the others must not change.
 func TestSlowTargetIsExpectedToBeSlow(t *testing.T) {
 	f := newFleet(t)
 	f.run(3 * time.Second)
@@ -175,9 +174,9 @@
 	assert.Assert(t, s.factor(now) <= maxSlowness)
 }
 
-// TestHiddenQueuesDoNotMoveTheLineMuch has first events that come late for
-// reasons the router cannot see, as after all routers started anew.
-func TestHiddenQueuesDoNotMoveTheLineMuch(t *testing.T) {
+// TestHiddenQueuesDoNotMoveTheModelMuch uses first events that are late for reasons unknown to
+// the router, as after a restart of all routers.
+func TestHiddenQueuesDoNotMoveTheModelMuch(t *testing.T) {
 	s := newLatencyEstimator()
 	s.setStatedSpeed(47_000)
 	before := s.predict(0)
--- a/place/regions_test.go
+++ b/place/regions_test.go
@@ -10,7 +10,7 @@
 	"zinccove.example/zinccove/roster"
 )
 
-// newRegionsFixture is a placer before engines that copy and plain targets, a third of them in
+// newRegionsFixture returns a placer for engines that copy and plain targets, a third of them in
 // each of three data centres; x and y are in the west, z is in the east.
 func newRegionsFixture(t *testing.T) *copyFixture {
 	t.Helper()
@@ -25,7 +25,7 @@
 	return s
 }
 
-// inRegions binds a request to regions.
+// inRegions restricts a request to regions.
 func inRegions(r Request, regions ...string) Request {
 	r.Regions = append([]string{}, regions...)
 	return r
@@ -37,15 +37,15 @@
 	return r
 }
 
-// TestRequestsStayInTheirRegions places prompts of all homes and plain calls, each with a
-// second attempt, also while the targets of the only data centre are all that is left.
+// TestRequestsStayInTheirRegions places prompts of all homes and plain calls, each with a second
+// attempt, also while only targets of the only allowed data centre are left.
 func TestRequestsStayInTheirRegions(t *testing.T) {
 	s := newRegionsFixture(t)
 	for i := range 60 {
 		for _, r := range []Request{inRegions(promptRequest(call(fmt.Sprint(i), 1000, 10), "c"), "east"), inRegions(plainRequest("c"), "east")} {
 			for range 2 {
 				for _, q := range s.Queries(r) {
-					assert.Equal(t, s.byHash[q.Target].DataCentre, "z", "nobody else is asked")
+					assert.Equal(t, s.byHash[q.Target].DataCentre, "z", "only targets of the region are queried")
 				}
 				d := s.Place(r)
 				if d.Run == nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-// TestNothingIsCopiedFromAnotherRegion has the home of a prompt leave, whose parts are in a
+// TestNothingIsCopiedFromAnotherRegion drains the home of a prompt whose parts are cached in a
 // region in which the request may not run.
 func TestNothingIsCopiedFromAnotherRegion(t *testing.T) {
 	s := newRegionsFixture(t)
@@ -83,8 +83,8 @@
 	assert.Assert(t, !d.CopyFrom.IsValid(), "copied from %s", d.CopyFrom)
 }
 
-// TestRequestsWithoutAnAllowedTargetAreRefusedAtOnce names regions without targets of the
-// service, one that no data centre is in, and none at all.
+// TestRequestsWithoutAnAllowedTargetAreRefusedAtOnce uses regions without targets of the service,
+// a region without data centres, and an empty list.
 func TestRequestsWithoutAnAllowedTargetAreRefusedAtOnce(t *testing.T) {
 	s := newRegionsFixture(t)
 	for _, regions := range [][]string{{"nowhere"}, {}, {"east"}} {
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestTargetsOfUnknownDataCentresServeOnlyUnboundRequests has a data centre of which the
-// settings say no region.
+// TestTargetsOfUnknownDataCentresServeOnlyUnboundRequests uses a data centre that has no region
+// in the settings.
 func TestTargetsOfUnknownDataCentresServeOnlyUnboundRequests(t *testing.T) {
 	s := newRegionsFixture(t)
 	s.list = []*roster.Target{{ID: "new", Service: "plain", Slots: 4, DataCentre: "unknown", Address: s.list[0].Address}}
--- a/place/restart_test.go
+++ b/place/restart_test.go
@@ -9,7 +9,7 @@
 	"zinccove.example/zinccove/roster"
 )
 
-// restarted returns the list of targets in which all of a service started again under
+// restarted returns the list of targets in which all targets of a service have restarted under
 // their ids.
 func restarted(list []*roster.Target) []*roster.Target {
 	var again []*roster.Target
@@ -22,8 +22,8 @@
 	return again
 }
 
-// TestRestartedTargetHasNoEarlierState has everything said of a run of a target
-// that can be, and the target start again under its id.
+// TestRestartedTargetHasNoEarlierState puts one incarnation of a target into every possible state
+// and restarts the target under its id. None of the state may apply to the new incarnation.
 func TestRestartedTargetHasNoEarlierState(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	list := targets("model", 1)
@@ -39,15 +39,15 @@
 	p.Place(r).Run.End(Replaced)
 	assert.Equal(t, p.Place(r).Reason, NoTarget)
 	p.SetTargets(restarted(list), table(t))
-	assert.Assert(t, before.Run.Unavailable(), "what was not sent yet goes to no other run")
+	assert.Assert(t, before.Run.Unavailable(), "a request that is not sent yet must not go to another incarnation")
 	r.Tried = []string{before.Run.Target.Incarnation()}
 	after := p.Place(r)
 	assert.Assert(t, after.Run != nil)
 	assert.Equal(t, after.Outstanding, 0)
 	assert.Equal(t, after.Backlog, 0)
-	assert.Equal(t, after.PrefillTokens, 5_010, "it keeps nothing")
+	assert.Equal(t, after.PrefillTokens, 5_010, "the new incarnation has nothing cached")
 	assert.Equal(t, after.Slowness, 1.0)
-	// The runs of before end late.
+	// The runs at the earlier incarnation end late.
 	before.Run.FirstEvent(true)
 	before.Run.End(Failed)
 	sent.Run.End(Replaced)
@@ -57,8 +57,8 @@
 	assert.Equal(t, next.Backlog, 5_010)
 }
 
-// TestOwnerTreatsNewIncarnationAsEmpty has a target start in a fleet that
-// runs. The router that answers for it would else expect it to keep all prompts.
+// TestOwnerTreatsNewIncarnationAsEmpty restarts a target in a running fleet. Its owner must not
+// assume that the new incarnation has all prompts cached.
 func TestOwnerTreatsNewIncarnationAsEmpty(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	p.firstStart = false
--- a/place/shares.go
+++ b/place/shares.go
@@ -46,7 +46,7 @@
 	if p.totals != nil && now.Sub(p.totals.AsOf) < totalsTTL {
 		uses = p.totals.comparableUsage(uses)
 	} else {
-		useSums(uses).add(p.othersUsage)
+		usageSums(uses).add(p.othersUsage)
 	}
 	p.shares = computeShares(uses, p.statedCapacity)
 	p.shares.at = now
@@ -171,17 +171,17 @@
 		return st
 	}
 	st.above = true
-	st.limitFactor = max(min(squared(s.owedLevel, u.Served), st.limitFactor), minFactor)
+	st.limitFactor = max(min(squaredRatio(s.owedLevel, u.Served), st.limitFactor), minFactor)
 	if u.Served > s.evenLevel {
 		st.ahead = true
 		st.contested = s.contested
-		st.limitFactor *= squared(s.evenLevel, u.Served)
+		st.limitFactor *= squaredRatio(s.evenLevel, u.Served)
 	}
 	return st
 }
 
-// squared returns the square of a ratio.
-func squared(a, b int) float64 {
+// squaredRatio returns the square of a ratio.
+func squaredRatio(a, b int) float64 {
 	ratio := float64(a) / float64(b)
 	return ratio * ratio
 }
--- a/place/shares_bench_test.go
+++ b/place/shares_bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// BenchmarkSharesOfLargeFleet compares 60 customers over 294 other routers, 20 times a
-// second: 1,016 us when the uses of all routers were summed up each time, 16 us since
-// the sums are kept.
+// BenchmarkSharesOfLargeFleet compares 60 customers over 294 other routers, 20 times a second:
+// 1,016 us if the usage of all routers is summed up each time, 16 us if the sums are kept up to
+// date.
 func BenchmarkSharesOfLargeFleet(b *testing.B) {
 	clock := clockwork.NewFakeClock()
 	p := New(Options{Clock: clock})
--- a/place/totals.go
+++ b/place/totals.go
@@ -30,7 +30,7 @@
 		t.Usage = make(map[Hash]Usage, len(o.Usage))
 		t.AsOf = o.AsOf
 	}
-	useSums(t.Usage).add(o.Usage)
+	usageSums(t.Usage).add(o.Usage)
 	t.OtherCustomers = max(t.OtherCustomers, o.OtherCustomers)
 	t.OtherUsage.add(o.OtherUsage, 1)
 	if o.AsOf.Before(t.AsOf) {
@@ -40,18 +40,18 @@
 
 // Trim keeps the customers that request the most, up to the number most, and moves the others to
 // OtherUsage.
-func (t *Totals) Trim(most int) {
-	if len(t.Usage) <= most {
+func (t *Totals) Trim(limit int) {
+	if len(t.Usage) <= limit {
 		return
 	}
 	ranked := slices.SortedFunc(maps.Keys(t.Usage), func(a, b Hash) int {
 		x, y := t.Usage[a], t.Usage[b]
 		return cmp.Or(cmp.Compare(y.Requested, x.Requested), cmp.Compare(y.CallsRequested, x.CallsRequested), cmp.Compare(a, b))
 	})
-	t.OtherCustomers = max(t.OtherCustomers, len(ranked)-most)
-	uses := make(map[Hash]Usage, most) // other goroutines may hold the previous map
+	t.OtherCustomers = max(t.OtherCustomers, len(ranked)-limit)
+	uses := make(map[Hash]Usage, limit) // other goroutines may hold the previous map
 	for i, h := range ranked {
-		if i < most {
+		if i < limit {
 			uses[h] = t.Usage[h]
 		} else {
 			t.OtherUsage.add(t.Usage[h], 1)
@@ -71,7 +71,7 @@
 		if !ok {
 			others--
 		}
-		uses[h] = most(known, u)
+		uses[h] = maxUsage(known, u)
 	}
 	if others <= 0 {
 		return uses
@@ -83,8 +83,8 @@
 	return uses
 }
 
-// most returns the larger value of each count.
-func most(a, b Usage) Usage {
+// maxUsage returns the larger value of each count.
+func maxUsage(a, b Usage) Usage {
 	return Usage{
 		Requested: max(a.Requested, b.Requested), Served: max(a.Served, b.Served),
 		CallsRequested: max(a.CallsRequested, b.CallsRequested), CallsServed: max(a.CallsServed, b.CallsServed),
--- a/place/totals_test.go
+++ b/place/totals_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// exact returns the uses of many customers, a few of them large, and what routers told of
-// them in parts.
+// exact returns the usage of many customers, a few of them large, and the reports of the routers
+// from which it is summed up.
 func exact(random *rand.Rand, customers, routers int) (sum map[Hash]Usage, parts []Totals) {
 	sum = make(map[Hash]Usage)
 	for range routers {
@@ -20,18 +20,18 @@
 			h := HashOf(fmt.Sprint(c))
 			u := Usage{Requested: 1000 + random.IntN(20_000), CallsRequested: random.IntN(3)}
 			u.Served, u.CallsServed = u.Requested*9/10, u.CallsRequested
-			useSums(part.Usage).add(map[Hash]Usage{h: u})
-			useSums(sum).add(map[Hash]Usage{h: u})
+			usageSums(part.Usage).add(map[Hash]Usage{h: u})
+			usageSums(sum).add(map[Hash]Usage{h: u})
 		}
 		parts = append(parts, part)
 	}
 	return sum, parts
 }
 
-// TestSumsOverATreeCompareCustomersAsTheExactOnes sums up the uses of a fleet by cells and
-// data centres, with the largest customers told one by one. The levels have to be within a
-// twentieth of the exact ones, and nobody within its share may count as above it.
-func TestSumsOverATreeCompareCustomersAsTheExactOnes(t *testing.T) {
+// TestTreeOfTotalsComparesCustomersLikeExactSums sums up the usage of a fleet by cells and data
+// centres, with the largest customers listed one by one. The levels have to be within a twentieth
+// of the exact ones, and no customer within its share may count as above it.
+func TestTreeOfTotalsComparesCustomersLikeExactSums(t *testing.T) {
 	const told = 64
 	for _, routers := range []int{100, 985, 2000} {
 		random := rand.New(rand.NewPCG(uint64(routers), 1))
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestTotalsCountWhileTheyAreNew has a customer that all of the fleet serves, and this
-// router not at all; then its own use is newer than the totals.
-func TestTotalsCountWhileTheyAreNew(t *testing.T) {
+// TestTotalsCountUntilTheyExpire uses totals with a customer that all of the fleet serves except
+// this router; older totals change nothing, and expired ones are not used.
+func TestTotalsCountUntilTheyExpire(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	flood, other := HashOf("flood"), HashOf("other")
 	p.SetTotals(Totals{AsOf: clock.Now(), Usage: map[Hash]Usage{flood: {Requested: 9_000_000, Served: 3_000_000}, other: {Requested: 1000, Served: 500}}})
@@ -80,9 +80,9 @@
 	assert.Assert(t, !standing("other").above)
 	p.SetTotals(Totals{AsOf: clock.Now().Add(-time.Second), Usage: map[Hash]Usage{}})
 	clock.Advance(sharesTTL)
-	assert.Assert(t, standing("flood").above, "older totals change nothing")
+	assert.Assert(t, standing("flood").above, "older totals must not replace newer ones")
 	clock.Advance(totalsTTL)
-	assert.Assert(t, !standing("flood").above, "what is old does not count")
+	assert.Assert(t, !standing("flood").above, "expired totals must not be used")
 }
 
 func TestOwnUseNewerThanTheTotalsCounts(t *testing.T) {
@@ -91,5 +91,5 @@
 	uses := totals.comparableUsage(own)
 	assert.Equal(t, uses[HashOf("a")], Usage{Requested: 500, Served: 400, CallsRequested: 5})
 	assert.Equal(t, uses[HashOf("b")], own[HashOf("b")])
-	assert.Equal(t, len(uses), 3, "one customer is among the rest")
+	assert.Equal(t, len(uses), 3, "one customer is among the others")
 }
--- a/place/usage.go
+++ b/place/usage.go
@@ -20,10 +20,10 @@
 	u.CallsServed += times * o.CallsServed
 }
 
-// useSums are sums of usage by customer.
-type useSums map[Hash]Usage
+// usageSums are sums of usage by customer.
+type usageSums map[Hash]Usage
 
-func (s useSums) add(uses map[Hash]Usage) {
+func (s usageSums) add(uses map[Hash]Usage) {
 	for h, u := range uses {
 		sum := s[h]
 		sum.add(u, 1)
@@ -32,7 +32,7 @@
 }
 
 // remove subtracts usage that was added before.
-func (s useSums) remove(uses map[Hash]Usage) {
+func (s usageSums) remove(uses map[Hash]Usage) {
 	for h, u := range uses {
 		sum := s[h]
 		sum.add(u, -1)
--- a/place/usage_test.go
+++ b/place/usage_test.go
@@ -16,13 +16,13 @@
 	s = computeShares(uses, 1100)
 	assert.Equal(t, s.evenLevel, 900)
 	assert.Equal(t, s.owedLevel, 500)
-	assert.Equal(t, computeShares(uses, 5000).owedLevel, 900, "no more is owed than is served")
+	assert.Equal(t, computeShares(uses, 5000).owedLevel, 900, "the owed level does not exceed what is served")
 	calm := computeShares(map[Hash]Usage{1: {Requested: 100, Served: 100}, 2: {Requested: 5000, Served: 5000}}, 1000)
 	assert.Assert(t, !calm.oversubscribed)
 }
 
-// TestLimitShrinksFromTheOwedLevelOn has three customers that flood: one within
-// what it is owed, one above it, one also far ahead of the others.
+// TestLimitShrinksFromTheOwedLevelOn has three customers that send floods of requests: one within
+// what it is owed, one above it, and one that is also far ahead of the others.
 func TestLimitShrinksFromTheOwedLevelOn(t *testing.T) {
 	s := computeShares(map[Hash]Usage{
 		HashOf("within"): {Requested: 5000, Served: 450}, HashOf("above"): {Requested: 5000, Served: 800}, HashOf("ahead"): {Requested: 5000, Served: 1450},
@@ -37,8 +37,8 @@
 	assert.Equal(t, s.standing("new").limitFactor, lightFactor)
 }
 
-// TestFloodThatIsAheadLeavesIdleTargetsToOthers has two customers that flood, of
-// which one had three times as much.
+// TestFloodThatIsAheadLeavesIdleTargetsToOthers has two customers that send floods of requests,
+// one of which was served three times as much.
 func TestFloodThatIsAheadLeavesIdleTargetsToOthers(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	p.ApplyReport("other", Report{Usage: map[Hash]Usage{
@@ -62,7 +62,7 @@
 	assert.Equal(t, p.Place(promptRequest(c, "flood")).Reason, Overloaded)
 	d := p.Place(promptRequest(c, "small"))
 	assert.Equal(t, d.Share, lightFactor)
-	assert.Assert(t, d.Run != nil, "places are left for customers below their share")
+	assert.Assert(t, d.Run != nil, "capacity is left for customers below their share")
 	home.End(Answered)
 }
 
@@ -75,8 +75,8 @@
 	assert.Equal(t, len(p.Usage()), 0)
 }
 
-// TestServiceIsTakenBackFromWhatDidNotRun ends runs in every way.
-func TestServiceIsTakenBackFromWhatDidNotRun(t *testing.T) {
+// TestUsageIsRefundedForWhatDidNotRun ends runs with every result.
+func TestUsageIsRefundedForWhatDidNotRun(t *testing.T) {
 	tests := []struct {
 		result Result
 		counts bool
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestServiceOfLongAgoIsNotTakenBackTwice(t *testing.T) {
+func TestExpiredUsageIsNotRefunded(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	c := call("part", 900, 100)
 	run := p.Place(promptRequest(c, "c")).Run
@@ -111,7 +111,7 @@
 	assert.Equal(t, p.Usage()[HashOf("c")].Served, costOf(c))
 }
 
-func TestSecondAttemptAsksForNothingNew(t *testing.T) {
+func TestSecondAttemptAddsNoRequestedUsage(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := call("part", 900, 100)
 	r := promptRequest(c, "c")
@@ -136,7 +136,8 @@
 	assert.Equal(t, even.standing("a").limitFactor, 1.0)
 }
 
-// TestSumsOfOthersUsesFollowEveryReport holds the kept sums equal to the reports.
+// TestSumsOfOthersUsesFollowEveryReport checks that the sums kept up to date equal those of the
+// reports.
 func TestSumsOfOthersUsesFollowEveryReport(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := HashOf("c")
--- a/place/versions_test.go
+++ b/place/versions_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// newVersionsFixture is a placer before engines that copy, every third of a new version.
+// newVersionsFixture returns a placer for engines that copy, a third of them of a new version.
 func newVersionsFixture(t *testing.T) *copyFixture {
 	t.Helper()
 	s := newCopyFixture(t, testCopyRate)
@@ -26,7 +26,7 @@
 	return r
 }
 
-// TestRequestsKeepToTheirVersion places prompts of all homes, and their second attempts.
+// TestRequestsKeepToTheirVersion places prompts of all homes, each with a second attempt.
 func TestRequestsKeepToTheirVersion(t *testing.T) {
 	s := newVersionsFixture(t)
 	for i := range 60 {
@@ -34,7 +34,7 @@
 			r := withVersions(promptRequest(call(fmt.Sprint(i), 1000, 10), "c"), v)
 			for range 2 {
 				for _, q := range s.Queries(r) {
-					assert.Assert(t, v.allow(s.byHash[q.Target].Version), "nobody else is asked")
+					assert.Assert(t, v.allow(s.byHash[q.Target].Version), "only targets of the version are queried")
 				}
 				d := s.Place(r)
 				assert.Assert(t, d.Run != nil)
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestVersionWithoutTargetsIsNotWaitedFor has all targets of one version leave.
-func TestVersionWithoutTargetsIsNotWaitedFor(t *testing.T) {
+// TestRestrictionToVersionWithoutTargetsIsLifted drains all targets of one version.
+func TestRestrictionToVersionWithoutTargetsIsLifted(t *testing.T) {
 	s := newVersionsFixture(t)
 	for i, x := range s.list {
 		if x.Version == "v1" {
@@ -65,7 +65,7 @@
 	d := s.Place(withVersions(s.request, Versions{Not: "v2"}))
 	assert.Assert(t, d.Run != nil && d.Run.Target.Version == "v2")
 	d = s.Place(withVersions(s.request, Versions{Not: "v2", Strict: true}))
-	assert.Assert(t, d.Run == nil, "a version that was rolled back gets nothing")
+	assert.Assert(t, d.Run == nil, "a version that was rolled back gets no requests")
 	d = s.Place(withVersions(s.request, Versions{Only: "v3"}))
 	assert.Assert(t, d.Run != nil)
 }
