--- a/place/backoff_test.go
+++ b/place/backoff_test.go
@@ -28,11 +28,11 @@
 	return last
 }
 
-// TestCallersComeBackAfterABackoff replays calls to a plain service all of whose targets ask for
+// TestCallersReturnAfterABackoff replays calls to a plain service all of whose targets ask for
 // a backoff of three seconds at once. Refused callers retry after the given delay. Full targets
 // refuse calls and ask for another backoff, so that many simultaneous retries at the end of the
 // first backoff would start the next one.
-func TestCallersComeBackAfterABackoff(t *testing.T) {
+func TestCallersReturnAfterABackoff(t *testing.T) {
 	const (
 		backoff = 3 * time.Second
 		hold    = 30 * time.Millisecond
--- a/place/flood_test.go
+++ b/place/flood_test.go
@@ -16,8 +16,8 @@
 	// rate is in requests a second; router is where all of them arrive, all routers if negative.
 	rate   float64
 	router int
-	// asked and served are in tokens, by which customers are compared.
-	asked, got int
+	// requested and served are in tokens, by which customers are compared.
+	requested, served int
 }
 
 // floodPerToken is the prefill time per token of engines that two floods overload several times
@@ -56,9 +56,9 @@
 )
 
 // run simulates the customers' traffic.
-func (r *routers) run(d time.Duration, crowds ...*traffic) {
+func (r *routers) run(d time.Duration, customers ...*traffic) {
 	for ms := range d.Milliseconds() {
-		for _, c := range crowds {
+		for _, c := range customers {
 			if r.random.Float64() < c.rate/1000 {
 				r.place(c)
 			}
@@ -78,12 +78,12 @@
 	}
 	f := r.fleets[router]
 	q := promptRequest(call(fmt.Sprint(r.random.IntN(40)), 4000, 500+r.random.IntN(4000)), c.customer)
-	c.asked += costOf(q.Call)
+	c.requested += costOf(q.Call)
 	d := f.placer.Place(q, r.replies(router, q)...)
 	if d.Run == nil {
 		return
 	}
-	c.got += costOf(q.Call)
+	c.served += costOf(q.Call)
 	f.pending[d.Run] = f.engines[d.Run.Target.ID].firstEvent(r.clock.Now(), d.PrefillTokens)
 }
 
@@ -151,20 +151,20 @@
 	for seed := range uint64(3) {
 		wide := &traffic{customer: "wide", rate: 260, router: -1}
 		narrow := &traffic{customer: "narrow", rate: 72, router: 3}
-		crowds := []*traffic{wide, narrow}
+		customers := []*traffic{wide, narrow}
 		for i := range 8 {
-			crowds = append(crowds, &traffic{customer: fmt.Sprint("small", i), rate: 4, router: -1})
+			customers = append(customers, &traffic{customer: fmt.Sprint("small", i), rate: 4, router: -1})
 		}
 		r := newRouters(t, 9, seed)
-		r.run(5*time.Second, crowds...)
-		for _, c := range crowds {
-			c.asked, c.got = 0, 0
+		r.run(5*time.Second, customers...)
+		for _, c := range customers {
+			c.requested, c.served = 0, 0
 		}
-		r.run(6*time.Second, crowds...)
-		t.Logf("seed %d: wide requested %d, served %d; narrow requested %d, served %d", seed, wide.asked, wide.got, narrow.asked, narrow.got)
-		assert.Assert(t, 2*narrow.got > min(narrow.asked, wide.got))
-		for _, c := range crowds[2:] {
-			assert.Assert(t, c.got > c.asked*8/10, "%s requested %d, was served %d", c.customer, c.asked, c.got)
+		r.run(6*time.Second, customers...)
+		t.Logf("seed %d: wide requested %d, served %d; narrow requested %d, served %d", seed, wide.requested, wide.served, narrow.requested, narrow.served)
+		assert.Assert(t, 2*narrow.served > min(narrow.requested, wide.served))
+		for _, c := range customers[2:] {
+			assert.Assert(t, c.served > c.requested*8/10, "%s requested %d, was served %d", c.customer, c.requested, c.served)
 		}
 	}
 }
--- a/place/hash_test.go
+++ b/place/hash_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// sharing returns two names whose hashes agree in 32 bits, as some of ten thousand names do.
-func sharing(t *testing.T) (a, b string) {
+// collidingNames returns two names whose hashes agree in 32 bits, as some of ten thousand names do.
+func collidingNames(t *testing.T) (a, b string) {
 	t.Helper()
 	seen := make(map[uint32]string)
 	for i := range 1 << 20 {
@@ -25,7 +25,7 @@
 // TestTargetsWithSimilarHashesAreDistinct makes one of two such targets full and draining. The
 // other one must not be affected.
 func TestTargetsWithSimilarHashesAreDistinct(t *testing.T) {
-	a, b := sharing(t)
+	a, b := collidingNames(t)
 	p, _ := newTestPlacer(t)
 	list := targets("plain", 2)
 	list[0].ID, list[1].ID = a, b
--- a/place/latency_test.go
+++ b/place/latency_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestSpeedIsLearned(t *testing.T) {
+func TestLatencyModelIsLearnedFromRandomRequests(t *testing.T) {
 	s := newLatencyEstimator()
 	s.setStatedSpeed(30_000)
 	trainLatency(s, 300, 0)
--- a/place/notices_test.go
+++ b/place/notices_test.go
@@ -148,15 +148,15 @@
 	r := promptRequest(call("some", 1000, 10), "c")
 	r.Service = "plain"
 	clock.Advance(500 * time.Millisecond)
-	told := make(map[time.Duration]bool)
+	delays := make(map[time.Duration]bool)
 	for range 50 {
 		d := p.Place(r)
 		assert.Equal(t, d.Reason, BackingOff)
 		assert.Equal(t, d.FirstAvailable, "plain-1")
 		assert.Assert(t, d.RetryAfter >= 1500*time.Millisecond && d.RetryAfter <= 2*time.Second, d.RetryAfter)
-		told[d.RetryAfter] = true
+		delays[d.RetryAfter] = true
 	}
-	assert.Assert(t, len(told) > 10, "all callers get the same retry delay")
+	assert.Assert(t, len(delays) > 10, "all callers get the same retry delay")
 	assert.Equal(t, p.Backoff("plain"), 1500*time.Millisecond)
 	assert.Equal(t, p.Backoff("model"), time.Duration(0))
 	clock.Advance(1500 * time.Millisecond)
--- a/place/place_test.go
+++ b/place/place_test.go
@@ -109,10 +109,10 @@
 	assert.Equal(t, p.Place(promptRequest(long, "c")).Reason, Overloaded)
 }
 
-// TestIdleTargetsTakeRequestsWhateverIsExpected has every request take far longer than its
+// TestIdleTargetsAdmitRequestsWhateverThePrediction has every request take far longer than its
 // objective. Refusing requests while no tokens are pending at the targets would give the router
 // no samples, so that it would never learn that the targets recovered.
-func TestIdleTargetsTakeRequestsWhateverIsExpected(t *testing.T) {
+func TestIdleTargetsAdmitRequestsWhateverThePrediction(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	for i := range 100 {
 		d := p.Place(promptRequest(call(fmt.Sprint(i), 100*i, 10), "c"))
@@ -308,7 +308,7 @@
 	assert.Equal(t, p.Place(r).Run.Target.ID, "plain-1")
 }
 
-func TestSpeedLearnsALine(t *testing.T) {
+func TestLatencyModelIsLearned(t *testing.T) {
 	s := newLatencyEstimator()
 	s.setStatedSpeed(30_000)
 	for i := range 200 {
@@ -393,7 +393,7 @@
 			cold[target.ID] = true
 		}
 	}
-	coldOnes := func() int {
+	placedAtWarmingUp := func() int {
 		n := 0
 		for i := range 40 {
 			if d := p.Place(promptRequest(call(fmt.Sprint("part", i), 500, 100), "c")); cold[d.Run.Target.ID] {
@@ -403,8 +403,8 @@
 		return n
 	}
 	p.SetTargets(list, tab)
-	assert.Equal(t, coldOnes(), 0)
+	assert.Equal(t, placedAtWarmingUp(), 0)
 	clock.Advance(time.Second)
 	p.SetTargets(list, tab)
-	assert.Assert(t, coldOnes() > 0, "an unchanged entry does not start another warm-up")
+	assert.Assert(t, placedAtWarmingUp() > 0, "an unchanged entry does not start another warm-up")
 }
--- a/place/plain_test.go
+++ b/place/plain_test.go
@@ -251,7 +251,7 @@
 // tick: a call holds a slot for about as long as that takes.
 func TestPlainLoadsAreSignalled(t *testing.T) {
 	p, _ := newTestPlacer(t)
-	told := func() int {
+	reported := func() int {
 		select {
 		case <-p.UpdateReady():
 		default:
@@ -265,9 +265,9 @@
 		return requests
 	}
 	run := p.Place(Request{Service: "plain", Objective: plainObjective, Call: new(message.Call)}).Run
-	assert.Equal(t, told(), 1)
+	assert.Equal(t, reported(), 1)
 	run.End(Answered)
-	assert.Equal(t, told(), 0)
+	assert.Equal(t, reported(), 0)
 }
 
 // TestLimitOfPlainCallsIsLearned uses a service whose slot time is not known at first, and then
--- a/place/query_test.go
+++ b/place/query_test.go
@@ -33,7 +33,7 @@
 // TestOwnerLearnsFromOthersFirstEvents checks that the owner knows the pending tokens without a
 // request of its own while engines prefill slower than it assumes.
 func TestOwnerLearnsFromOthersFirstEvents(t *testing.T) {
-	asked, clock := newTestPlacer(t)
+	owner, clock := newTestPlacer(t)
 	other, _ := newTestPlacer(t)
 	other.clock = clock
 	r := promptRequest(call("part", 0, 5_000), "c")
@@ -42,21 +42,21 @@
 	for range 2 {
 		runs = append(runs, other.Place(r).Run)
 	}
-	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
-	before := firstHomeReply(asked, r)
+	owner.ApplyReport("other", Report{Update: other.TakeUpdate()})
+	before := firstHomeReply(owner, r)
 	assert.Equal(t, before.Requests, 2)
 	clock.Advance(250 * time.Millisecond)
-	assert.Equal(t, firstHomeReply(asked, r).PendingTokens, 0, "the owner assumes that all tokens were prefilled")
+	assert.Equal(t, firstHomeReply(owner, r).PendingTokens, 0, "the owner assumes that all tokens were prefilled")
 	runs[0].FirstEvent(true)
-	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
-	after := firstHomeReply(asked, r)
+	owner.ApplyReport("other", Report{Update: other.TakeUpdate()})
+	after := firstHomeReply(owner, r)
 	assert.Assert(t, after.PendingTokens > 1_000, "the second prompt is still waiting: %d", after.PendingTokens)
 	assert.Assert(t, after.Slowness != before.Slowness)
 	for _, run := range runs {
 		run.End(Answered)
 	}
-	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
-	assert.Equal(t, firstHomeReply(asked, r).Requests, 0)
+	owner.ApplyReport("other", Report{Update: other.TakeUpdate()})
+	assert.Equal(t, firstHomeReply(owner, r).Requests, 0)
 }
 
 // TestTimesOfALateRouterAreIgnored has a router that is running late receive every first event
@@ -77,25 +77,25 @@
 
 // TestLoadsAreRepeatedAndExpire loses the update about the end of a request.
 func TestLoadsAreRepeatedAndExpire(t *testing.T) {
-	asked, clock := newTestPlacer(t)
+	owner, clock := newTestPlacer(t)
 	other, _ := newTestPlacer(t)
 	other.clock = clock
 	r := promptRequest(call("part", 0, 100), "c")
 	run := other.Place(r).Run
-	asked.ApplyReport("other", Report{Update: other.TakeUpdate()})
+	owner.ApplyReport("other", Report{Update: other.TakeUpdate()})
 	first := other.TakeUpdate()
 	assert.Equal(t, len(first.Loads), 0)
 	clock.Advance(loadRepeatInterval)
 	again := other.TakeUpdate()
 	assert.Equal(t, len(again.Loads), 1)
-	asked.ApplyReport("other", Report{Update: again})
-	asked.ExpireLoads()
-	assert.Equal(t, firstHomeReply(asked, r).Requests, 1)
+	owner.ApplyReport("other", Report{Update: again})
+	owner.ExpireLoads()
+	assert.Equal(t, firstHomeReply(owner, r).Requests, 1)
 	run.End(Answered)
 	other.TakeUpdate() // lost in transit
 	clock.Advance(loadTTL)
-	asked.ExpireLoads()
-	assert.Equal(t, firstHomeReply(asked, r).Requests, 0)
+	owner.ExpireLoads()
+	assert.Equal(t, firstHomeReply(owner, r).Requests, 0)
 }
 
 // TestNewlyOwnedTargetsCountAsCached has a router become the owner of a target in a running
@@ -133,8 +133,8 @@
 	}
 }
 
-// engines12 returns a placer for engines with 12 slots.
-func engines12(t *testing.T) *Placer {
+// newTwelveSlotPlacer returns a placer for engines with 12 slots.
+func newTwelveSlotPlacer(t *testing.T) *Placer {
 	t.Helper()
 	p, _ := newTestPlacer(t)
 	list := targets("model", 9)
@@ -149,7 +149,7 @@
 // all slots of a home are taken while it has no pending tokens. When such homes refused every
 // request, they caused half of all refusals.
 func TestFullEngineAdmitsWhatMeetsTheObjective(t *testing.T) {
-	p := engines12(t)
+	p := newTwelveSlotPlacer(t)
 	r := promptRequest(call("hot", 1000, 10), "c")
 	q := p.Queries(r)
 	at := func(requests int) Decision {
--- a/place/queue_test.go
+++ b/place/queue_test.go
@@ -116,16 +116,16 @@
 	}
 }
 
-func TestFirstEventsAreExpected(t *testing.T) {
+func TestFirstEventsArePredicted(t *testing.T) {
 	f := newFleet(t)
 	f.run(3 * time.Second)
 	off := f.run(3 * time.Second)
 	assert.Assert(t, off < 15*time.Millisecond, "mean error %v of %d", off, f.seen)
 }
 
-// TestModelRecoversFromOtherSpeeds makes all engines five times slower at once, then as fast as
+// TestModelAdaptsToOtherSpeeds makes all engines five times slower at once, then as fast as
 // before. After two seconds of traffic the router's predictions must be right again.
-func TestModelRecoversFromOtherSpeeds(t *testing.T) {
+func TestModelAdaptsToOtherSpeeds(t *testing.T) {
 	f := newFleet(t)
 	f.run(3 * time.Second)
 	for _, factor := range []time.Duration{5, 1} {
@@ -139,9 +139,9 @@
 	}
 }
 
-// TestSlowTargetIsExpectedToBeSlow makes one of nine engines four times slower. The predictions
+// TestSlowTargetIsPredictedToBeSlow makes one of nine engines four times slower. The predictions
 // for the others must not change.
-func TestSlowTargetIsExpectedToBeSlow(t *testing.T) {
+func TestSlowTargetIsPredictedToBeSlow(t *testing.T) {
 	f := newFleet(t)
 	f.run(3 * time.Second)
 	slow := f.engines["model-3"]
@@ -160,7 +160,7 @@
 	assert.Assert(t, idle < 70*time.Millisecond, idle)
 }
 
-func TestSlownessIsForgotten(t *testing.T) {
+func TestSlownessDecays(t *testing.T) {
 	now := time.Now()
 	var s slowness
 	assert.Equal(t, s.factor(now), 1.0)
--- a/place/regions_test.go
+++ b/place/regions_test.go
@@ -83,9 +83,9 @@
 	assert.Assert(t, !d.CopyFrom.IsValid(), "copied from %s", d.CopyFrom)
 }
 
-// TestRequestsWithoutAnAllowedTargetAreRefusedAtOnce uses regions without targets of the service,
+// TestRequestsWithoutAnAllowedTargetAreRefused uses regions without targets of the service,
 // a region without data centres, and an empty list.
-func TestRequestsWithoutAnAllowedTargetAreRefusedAtOnce(t *testing.T) {
+func TestRequestsWithoutAnAllowedTargetAreRefused(t *testing.T) {
 	s := newRegionsFixture(t)
 	for _, regions := range [][]string{{"nowhere"}, {}, {"east"}} {
 		list := s.list
@@ -107,9 +107,9 @@
 	}
 }
 
-// TestTargetsOfUnknownDataCentresServeOnlyUnboundRequests uses a data centre that has no region
+// TestTargetsOfUnknownDataCentresServeOnlyUnrestrictedRequests uses a data centre that has no region
 // in the settings.
-func TestTargetsOfUnknownDataCentresServeOnlyUnboundRequests(t *testing.T) {
+func TestTargetsOfUnknownDataCentresServeOnlyUnrestrictedRequests(t *testing.T) {
 	s := newRegionsFixture(t)
 	s.list = []*roster.Target{{ID: "new", Service: "plain", Slots: 4, DataCentre: "unknown", Address: s.list[0].Address}}
 	s.update()
--- a/place/run.go
+++ b/place/run.go
@@ -69,7 +69,7 @@
 // FirstEvent records that the target has prefilled the prompt. It returns the error of the
 // predicted time; known is false if the event was recorded before. Pass false for reliable if
 // this router itself is running late, so that its time says nothing about the target.
-func (r *Run) FirstEvent(reliable bool) (off time.Duration, known bool) {
+func (r *Run) FirstEvent(reliable bool) (deviation time.Duration, known bool) {
 	p := r.placer
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/place/shares.go
+++ b/place/shares.go
@@ -57,7 +57,7 @@
 // window, in tokens; 0 if none is stated.
 func computeShares(uses map[Hash]Usage, stated int) shares {
 	tokens := demandOf(uses, func(u Usage) (asked, served int) { return u.Requested, u.Served })
-	s := shares{usage: uses, requested: tokens.asked, oversubscribed: tokens.oversubscribed(), evenLevel: tokens.level(tokens.served)}
+	s := shares{usage: uses, requested: tokens.requested, oversubscribed: tokens.oversubscribed(), evenLevel: tokens.level(tokens.served)}
 	s.owedLevel = s.evenLevel
 	if stated > 0 {
 		s.owedLevel = tokens.level(min(tokens.served, stated))
@@ -70,8 +70,8 @@
 // demand is what customers request and are served of one resource.
 type demand struct {
 	// wants are the requested amounts of the customers in ascending order.
-	wants         []int
-	asked, served int
+	wants             []int
+	requested, served int
 }
 
 // demandOf sums up usage; of returns the part of a usage that counts.
@@ -79,7 +79,7 @@
 	d := demand{wants: make([]int, 0, len(uses))}
 	for _, u := range uses {
 		asked, served := of(u)
-		d.asked += asked
+		d.requested += asked
 		d.served += served
 		d.wants = append(d.wants, asked)
 	}
@@ -89,7 +89,7 @@
 
 // oversubscribed reports whether more is requested than served.
 func (d *demand) oversubscribed() bool {
-	return float64(d.asked-d.served) > float64(d.asked)*oversubscribedShare
+	return float64(d.requested-d.served) > float64(d.requested)*oversubscribedShare
 }
 
 // level returns the max-min level at which the customers share an amount.
@@ -157,7 +157,7 @@
 // Above that level the limit is multiplied by the square of the ratio, and above the even level
 // once more by the square of that ratio. Limits that shrink from the owed level on keep waits
 // short for customers within their shares: their mean share of requests answered in time rose
-// from 0.84 to 0.89 on simulated days with failures (18 days, three seeds).
+// from 0.84 to 0.89 on days with failures (18 days, three seeds).
 //
 // Above the even level no minimum limit applies. With one, two customers that sent floods of
 // requests were served by how often they requested: one of them got 0.94 of 3.0 million tokens,
--- a/place/totals_test.go
+++ b/place/totals_test.go
@@ -32,7 +32,7 @@
 // centres, with the largest customers listed one by one. The levels have to be within a twentieth
 // of the exact ones, and no customer within its share may count as above it.
 func TestTreeOfTotalsComparesCustomersLikeExactSums(t *testing.T) {
-	const told = 64
+	const listed = 64
 	for _, routers := range []int{100, 985, 2000} {
 		random := rand.New(rand.NewPCG(uint64(routers), 1))
 		sum, parts := exact(random, 333, routers)
@@ -44,13 +44,13 @@
 				for _, p := range parts[cell:min(cell+50, (dc+1)*len(parts)/5)] {
 					ofCell.Add(p)
 				}
-				ofCell.Trim(told)
+				ofCell.Trim(listed)
 				ofDC.Add(ofCell)
 			}
-			ofDC.Trim(told)
+			ofDC.Trim(listed)
 			fleet.Add(ofDC)
 		}
-		fleet.Trim(told)
+		fleet.Trim(listed)
 		want, got := computeShares(sum, 0), computeShares(fleet.comparableUsage(nil), 0)
 		within := func(what string, got, want int) {
 			t.Helper()
@@ -85,7 +85,7 @@
 	assert.Assert(t, !standing("flood").above, "expired totals must not be used")
 }
 
-func TestOwnUseNewerThanTheTotalsCounts(t *testing.T) {
+func TestNewerOwnUsageCounts(t *testing.T) {
 	own := map[Hash]Usage{HashOf("a"): {Requested: 500, Served: 400}, HashOf("b"): {Requested: 70, Served: 70}}
 	totals := Totals{Usage: map[Hash]Usage{HashOf("a"): {Requested: 100, Served: 100, CallsRequested: 5}}, OtherCustomers: 2, OtherUsage: Usage{Requested: 100, Served: 100}}
 	uses := totals.comparableUsage(own)
--- a/place/usage_test.go
+++ b/place/usage_test.go
@@ -66,7 +66,7 @@
 	home.End(Answered)
 }
 
-func TestUseSlidesOutOfTheWindow(t *testing.T) {
+func TestUsageLeavesTheWindow(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	p.recordUsage("c", Usage{Requested: 10, Served: 5}, clock.Now())
 	clock.Advance((useSlots - 1) * useSlot)
@@ -122,7 +122,7 @@
 	assert.Equal(t, p.Usage()[HashOf("c")], Usage{Requested: costOf(c), Served: costOf(c)})
 }
 
-func TestCustomerThatAsksForMuchLeavesRoomForOthers(t *testing.T) {
+func TestHeavyCustomerLeavesCapacityForOthers(t *testing.T) {
 	uses := map[Hash]Usage{HashOf("heavy"): {Requested: 800, Served: 800}}
 	for i := range 9 {
 		uses[HashOf(fmt.Sprint(i))] = Usage{Requested: 20, Served: 20}
@@ -136,9 +136,9 @@
 	assert.Equal(t, even.standing("a").limitFactor, 1.0)
 }
 
-// TestSumsOfOthersUsesFollowEveryReport checks that the sums kept up to date equal those of the
+// TestSumsOfOthersUsageFollowReports checks that the sums kept up to date equal those of the
 // reports.
-func TestSumsOfOthersUsesFollowEveryReport(t *testing.T) {
+func TestSumsOfOthersUsageFollowReports(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	c := HashOf("c")
 	p.ApplyReport("a", Report{Usage: map[Hash]Usage{c: {Requested: 5, Served: 3}}})
