--- a/place/admit.go
+++ b/place/admit.go
@@ -43,8 +43,8 @@
 
 // refuse refuses a request. Its caller may retry when the chosen target is predicted to meet the
 // limit, but not before the time least has passed.
-func (p *Placer) refuse(r Request, d Decision, asks Usage, limit, least time.Duration, now time.Time) Decision {
-	p.recordUsage(r.Customer, firstAttemptUsage(r, asks), now)
+func (p *Placer) refuse(r Request, d Decision, requested Usage, limit, least time.Duration, now time.Time) Decision {
+	p.recordUsage(r.Customer, firstAttemptUsage(r, requested), now)
 	d.Reason = Overloaded
 	d.RetryAfter = min(max(d.Predicted-limit, least), maxRetryAfter)
 	return d
@@ -52,11 +52,11 @@
 
 // firstAttemptUsage returns what a request adds to the requested usage of its customer: nothing
 // if an earlier attempt already counted it.
-func firstAttemptUsage(r Request, asks Usage) Usage {
+func firstAttemptUsage(r Request, requested Usage) Usage {
 	if len(r.Tried) > 0 {
 		return Usage{}
 	}
-	return asks
+	return requested
 }
 
 // costOf returns the size of a request in tokens, by which customers are compared.
--- a/place/peers.go
+++ b/place/peers.go
@@ -23,11 +23,11 @@
 
 // peerReport is the state reported by another router.
 type peerReport struct {
-	uses  map[Hash]Usage
+	usage map[Hash]Usage
 	loads map[Hash]timedLoad
 	at    time.Time
-	// usesAt is when the usage was received.
-	usesAt time.Time
+	// usageAt is when the usage was received.
+	usageAt time.Time
 }
 
 // timedLoad is a load with the time at which it was received.
@@ -48,9 +48,9 @@
 	now := p.clock.Now()
 	known.at = now
 	if r.Usage != nil {
-		p.othersUsage.remove(known.uses)
-		known.uses, known.usesAt = r.Usage, now
-		p.othersUsage.add(known.uses)
+		p.othersUsage.remove(known.usage)
+		known.usage, known.usageAt = r.Usage, now
+		p.othersUsage.add(known.usage)
 	}
 	p.applyUpdate(HashOf(router), r.Update, known, now)
 }
@@ -63,7 +63,7 @@
 	if known == nil {
 		return
 	}
-	p.othersUsage.remove(known.uses)
+	p.othersUsage.remove(known.usage)
 	for h, l := range known.loads {
 		p.addOthersLoad(h, -l.Requests)
 	}
@@ -73,16 +73,16 @@
 // oldestReportAge returns the age of the oldest report among the last reports of the other
 // routers.
 func (p *Placer) oldestReportAge(now time.Time) time.Duration {
-	if p.oldest.at.IsZero() || now.Sub(p.oldest.at) >= sharesTTL {
-		p.oldest.at, p.oldest.made = now, now
+	if p.oldest.computedAt.IsZero() || now.Sub(p.oldest.computedAt) >= sharesTTL {
+		p.oldest.computedAt, p.oldest.receivedAt = now, now
 		for _, r := range p.peers {
-			if r.at.Before(p.oldest.made) {
-				p.oldest.made = r.at
+			if r.at.Before(p.oldest.receivedAt) {
+				p.oldest.receivedAt = r.at
 			}
 		}
 	}
-	return now.Sub(p.oldest.made)
+	return now.Sub(p.oldest.receivedAt)
 }
 
-// oldestReport is when the oldest report was received, as determined at the time at.
-type oldestReport struct{ at, made time.Time }
+// oldestReport is when the oldest report was received, as determined at computedAt.
+type oldestReport struct{ computedAt, receivedAt time.Time }
--- a/place/place.go
+++ b/place/place.go
@@ -157,7 +157,7 @@
 	targets  map[string]*target
 	byHash   map[Hash]*target
 	peers    map[string]*peerReport
-	usage    map[Hash]*ring
+	usage    map[Hash]*usageRing
 	// othersUsage sums up the reports of all peers. It is kept up to date so that a comparison of
 	// customers need not sum them up.
 	othersUsage usageSums
@@ -204,7 +204,7 @@
 func New(o Options) *Placer {
 	return &Placer{
 		clock: o.Clock, regions: o.Regions, services: make(map[string]*service), targets: make(map[string]*target),
-		byHash: make(map[Hash]*target), peers: make(map[string]*peerReport), usage: make(map[Hash]*ring), othersUsage: make(usageSums),
+		byHash: make(map[Hash]*target), peers: make(map[string]*peerReport), usage: make(map[Hash]*usageRing), othersUsage: make(usageSums),
 		announcements: make(map[Hash]*announcement), lastReceived: make(map[string]time.Time), cutOff: make(map[string]bool), assumeCached: o.AssumeCached, firstStart: !o.AssumeCached, started: o.Clock.Now(), changed: make(map[Hash]*target), busy: make(map[Hash]*target), updateReady: make(chan struct{}, 1),
 	}
 }
--- a/place/run.go
+++ b/place/run.go
@@ -7,8 +7,8 @@
 )
 
 // begin counts a run at a target, and the usage that its customer requests and is served by it.
-func (p *Placer) begin(t *target, r Request, d Decision, asks, served Usage, now time.Time) Decision {
-	use := firstAttemptUsage(r, asks)
+func (p *Placer) begin(t *target, r Request, d Decision, requested, served Usage, now time.Time) Decision {
+	use := firstAttemptUsage(r, requested)
 	use.add(served, 1)
 	p.recordUsage(r.Customer, use, now)
 	before := t.outstanding()
--- a/place/shares.go
+++ b/place/shares.go
@@ -42,7 +42,7 @@
 	if now.Sub(p.shares.at) < sharesTTL && p.shares.usage != nil {
 		return &p.shares
 	}
-	uses := p.ownUses(now)
+	uses := p.ownUsage(now)
 	if p.totals != nil && now.Sub(p.totals.AsOf) < totalsTTL {
 		uses = p.totals.comparableUsage(uses)
 	} else {
--- a/place/targets.go
+++ b/place/targets.go
@@ -211,7 +211,7 @@
 }
 
 func (p *Placer) setEngines(table *route.Table) {
-	p.statedCapacity = int(table.Limits.TokensPerSecond * useWindow.Seconds())
+	p.statedCapacity = int(table.Limits.TokensPerSecond * usageWindow.Seconds())
 	for i := range table.Services {
 		s := p.service(table.Services[i].Name)
 		s.engine = table.Services[i].Engine
--- a/place/totals.go
+++ b/place/totals.go
@@ -20,7 +20,7 @@
 }
 
 // totalsTTL is the time for which totals are used.
-const totalsTTL = useWindow
+const totalsTTL = usageWindow
 
 // Add adds other totals. If a customer is listed in only one of them, its usage in the other is
 // missing from its entry, because it is included in the other's OtherUsage. That usage is smaller
@@ -106,10 +106,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.clock.Now()
-	t := Totals{Usage: p.ownUses(now), AsOf: now}
+	t := Totals{Usage: p.ownUsage(now), AsOf: now}
 	for _, r := range p.peers {
-		if len(r.uses) > 0 && !r.usesAt.Before(since) {
-			t.Add(Totals{Usage: r.uses, AsOf: r.usesAt})
+		if len(r.usage) > 0 && !r.usageAt.Before(since) {
+			t.Add(Totals{Usage: r.usage, AsOf: r.usageAt})
 		}
 	}
 	return t
--- a/place/usage.go
+++ b/place/usage.go
@@ -45,12 +45,12 @@
 }
 
 const (
-	// useSlots slots of length useSlot form the sliding window in which customers are compared:
+	// usageSlots slots of length usageSlot form the sliding window in which customers are compared:
 	// four seconds, as the deployments state for their shares.
-	useSlots = 8
-	useSlot  = 500 * time.Millisecond
-	// useWindow is the length of that window.
-	useWindow = useSlots * useSlot
+	usageSlots = 8
+	usageSlot  = 500 * time.Millisecond
+	// usageWindow is the length of that window.
+	usageWindow = usageSlots * usageSlot
 	// minFactor is the minimum factor on the usual limit for a customer above what it is owed, up
 	// to the even level: such a customer then gets little more than what would stay idle.
 	minFactor = 0.25
@@ -65,28 +65,28 @@
 	lightRatio  = 2
 )
 
-// ring holds one customer's usage of this router by time slot.
-type ring struct {
-	slots [useSlots]Usage
+// usageRing holds one customer's usage of this router by time slot.
+type usageRing struct {
+	slots [usageSlots]Usage
 	at    int64
 }
 
 // advance clears the slots that are older than the window.
-func (r *ring) advance(slot int64) {
+func (r *usageRing) advance(slot int64) {
 	for ; r.at < slot; r.at++ {
-		if slot-r.at > useSlots {
-			r.at = slot - useSlots
+		if slot-r.at > usageSlots {
+			r.at = slot - usageSlots
 		}
-		r.slots[(r.at+1)%useSlots] = Usage{}
+		r.slots[(r.at+1)%usageSlots] = Usage{}
 	}
 }
 
-func (r *ring) add(slot int64, u Usage) {
+func (r *usageRing) add(slot int64, u Usage) {
 	r.advance(slot)
-	r.slots[slot%useSlots].add(u, 1)
+	r.slots[slot%usageSlots].add(u, 1)
 }
 
-func (r *ring) sum(slot int64) Usage {
+func (r *usageRing) sum(slot int64) Usage {
 	r.advance(slot)
 	var sum Usage
 	for _, s := range r.slots {
@@ -95,14 +95,14 @@
 	return sum
 }
 
-func slotOf(now time.Time) int64 { return now.UnixNano() / int64(useSlot) }
+func slotOf(now time.Time) int64 { return now.UnixNano() / int64(usageSlot) }
 
 // recordUsage adds the usage of a request to its customer.
 func (p *Placer) recordUsage(customer string, u Usage, now time.Time) {
 	h := HashOf(customer)
 	r := p.usage[h]
 	if r == nil {
-		r = &ring{at: slotOf(now)}
+		r = &usageRing{at: slotOf(now)}
 		p.usage[h] = r
 	}
 	r.add(slotOf(now), u)
@@ -118,8 +118,8 @@
 		return
 	}
 	r.advance(slotOf(now))
-	if at := slotOf(start); at > r.at-useSlots {
-		r.slots[at%useSlots].add(served, -1)
+	if at := slotOf(start); at > r.at-usageSlots {
+		r.slots[at%usageSlots].add(served, -1)
 	}
 }
 
@@ -127,10 +127,10 @@
 func (p *Placer) Usage() map[Hash]Usage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ownUses(p.clock.Now())
+	return p.ownUsage(p.clock.Now())
 }
 
-func (p *Placer) ownUses(now time.Time) map[Hash]Usage {
+func (p *Placer) ownUsage(now time.Time) map[Hash]Usage {
 	uses := make(map[Hash]Usage, len(p.usage))
 	for h, r := range p.usage {
 		if u := r.sum(slotOf(now)); u != (Usage{}) {
--- a/place/usage_test.go
+++ b/place/usage_test.go
@@ -69,9 +69,9 @@
 func TestUsageLeavesTheWindow(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	p.recordUsage("c", Usage{Requested: 10, Served: 5}, clock.Now())
-	clock.Advance((useSlots - 1) * useSlot)
+	clock.Advance((usageSlots - 1) * usageSlot)
 	assert.Equal(t, p.Usage()[HashOf("c")], Usage{Requested: 10, Served: 5})
-	clock.Advance(2 * useSlot)
+	clock.Advance(2 * usageSlot)
 	assert.Equal(t, len(p.Usage()), 0)
 }
 
@@ -89,7 +89,7 @@
 		c := call("part", 900, 100)
 		cost := costOf(c)
 		run := p.Place(promptRequest(c, "c")).Run
-		clock.Advance(useSlot)
+		clock.Advance(usageSlot)
 		run.End(tc.result)
 		run.End(tc.result)
 		want := Usage{Requested: cost}
@@ -104,7 +104,7 @@
 	p, clock := newTestPlacer(t)
 	c := call("part", 900, 100)
 	run := p.Place(promptRequest(c, "c")).Run
-	clock.Advance(useWindow)
+	clock.Advance(usageWindow)
 	assert.Equal(t, len(p.Usage()), 0)
 	p.Place(promptRequest(c, "c"))
 	run.End(Refused)
