--- a/place/totals.go
+++ b/place/totals.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Trim keeps the customers that request the most, up to the number most, and moves the others to
+// Trim keeps the customers that request the most, up to limit of them, and moves the others to
 // OtherUsage.
 func (t *Totals) Trim(limit int) {
 	if len(t.Usage) <= limit {
