--- a/place/flood_test.go
+++ b/place/flood_test.go
@@ -10,22 +10,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// crowd is the traffic of one customer.
-type crowd struct {
+// traffic is the traffic of one customer.
+type traffic struct {
 	customer string
-	// rate is in requests a second; router is where all of them arrive, everywhere
-	// if negative.
+	// rate is in requests a second; router is where all of them arrive, all routers if negative.
 	rate   float64
 	router int
-	// asked and got are in tokens, as customers are compared.
-	asked, got int
+	// requested and served are in tokens, by which customers are compared.
+	requested, served int
 }
 
-// floodPerToken makes engines that two floods fill several times over.
+// floodPerToken is the prefill time per token of engines that two floods overload several times
+// over.
 const floodPerToken = 24 * time.Microsecond
 
-// routers drives several placers that tell each other what they do, and engines
-// that they share.
+// routers drives several placers that exchange reports, and the engines that they share.
 type routers struct {
 	clock   *clockwork.FakeClock
 	random  *rand.Rand
@@ -50,16 +49,16 @@
 }
 
 const (
-	// tellReadings and tellUses are how often routers tell each other of placed
-	// prompts and of customers' use.
-	tellReadings = 5 * time.Millisecond
-	tellUses     = 400 * time.Millisecond
+	// prefillsInterval and usageInterval are the intervals at which routers report placed prompts
+	// and the customers' usage.
+	prefillsInterval = 5 * time.Millisecond
+	usageInterval    = 400 * time.Millisecond
 )
 
-// run plays the crowds' traffic.
-func (r *routers) run(d time.Duration, crowds ...*crowd) {
+// run simulates the customers' traffic.
+func (r *routers) run(d time.Duration, customers ...*traffic) {
 	for ms := range d.Milliseconds() {
-		for _, c := range crowds {
+		for _, c := range customers {
 			if r.random.Float64() < c.rate/1000 {
 				r.place(c)
 			}
@@ -67,32 +66,32 @@
 		for _, f := range r.fleets {
 			f.events()
 		}
-		r.tell(time.Duration(ms) * time.Millisecond)
+		r.exchange(time.Duration(ms) * time.Millisecond)
 		r.clock.Advance(time.Millisecond)
 	}
 }
 
-func (r *routers) place(c *crowd) {
+func (r *routers) place(c *traffic) {
 	router := c.router
 	if router < 0 {
 		router = r.random.IntN(len(r.fleets))
 	}
 	f := r.fleets[router]
-	q := ask(call(fmt.Sprint(r.random.IntN(40)), 4000, 500+r.random.IntN(4000)), c.customer)
-	c.asked += costOf(q.Call)
-	d := f.placer.Place(q, r.answers(router, q)...)
+	q := promptRequest(call(fmt.Sprint(r.random.IntN(40)), 4000, 500+r.random.IntN(4000)), c.customer)
+	c.requested += costOf(q.Call)
+	d := f.placer.Place(q, r.replies(router, q)...)
 	if d.Run == nil {
 		return
 	}
-	c.got += costOf(q.Call)
+	c.served += costOf(q.Call)
 	f.pending[d.Run] = f.engines[d.Run.Target.ID].firstEvent(r.clock.Now(), d.PrefillTokens)
 }
 
-// owner returns the router that answers for a target.
+// owner returns the index of the router that owns a target.
 func (r *routers) owner(target Hash) int { return int(uint64(target) % uint64(len(r.placers))) }
 
-// answers has the routers answer that a request's targets belong to.
-func (r *routers) answers(router int, q Request) []Reply {
+// replies returns the replies of the owners of a request's targets.
+func (r *routers) replies(router int, q Request) []Reply {
 	var list []Reply
 	for _, question := range r.placers[router].Queries(q) {
 		owner := r.owner(question.Target)
@@ -103,8 +102,8 @@
 	return list
 }
 
-// newsFor is the part of a router's news that concerns another one.
-func (r *routers) newsFor(owner int, n Update) Update {
+// updateFor returns the part of a router's update that concerns the targets of an owner.
+func (r *routers) updateFor(owner int, n Update) Update {
 	part := Update{Loads: make(map[Hash]Load)}
 	for _, x := range n.Prefills {
 		if r.owner(x.Target) == owner {
@@ -124,49 +123,48 @@
 	return part
 }
 
-func (r *routers) tell(now time.Duration) {
-	if now%tellReadings != 0 {
+func (r *routers) exchange(now time.Duration) {
+	if now%prefillsInterval != 0 {
 		return
 	}
 	for i, p := range r.placers {
 		news := p.TakeUpdate()
 		var report Report
-		if now%tellUses == 0 {
+		if now%usageInterval == 0 {
 			report.Usage = p.Usage()
 		}
 		for j, other := range r.placers {
 			if i != j {
-				report.Update = r.newsFor(j, news)
+				report.Update = r.updateFor(j, news)
 				other.ApplyReport(fmt.Sprint(i), report)
 			}
 		}
 	}
 }
 
-// TestFloodsAtDifferentNumbersOfRoutersGetTheSame has two customers flood. One of
-// them has connections to all routers and asks 3.6 times as often, the other has
-// all of its connections at one router. Both were far above what they were owed, so
-// both had the least limit, and what fitted it went to whoever asked more often: a
-// customer that asked for 2.2 million tokens in six seconds got 0.9 million, and
-// another one 2.5 million.
-func TestFloodsAtDifferentNumbersOfRoutersGetTheSame(t *testing.T) {
+// TestFloodsAreServedEquallyAtAnyNumberOfRouters has two customers send floods of requests. One
+// of them has connections to all routers and requests 3.6 times as often, the other has all of
+// its connections at one router. Both are far above what they are owed. When both had the same
+// minimum limit, the capacity that fitted it went to whoever requested more often: a customer
+// that requested 2.2 million tokens in six seconds got 0.9 million, and another one 2.5 million.
+func TestFloodsAreServedEquallyAtAnyNumberOfRouters(t *testing.T) {
 	for seed := range uint64(3) {
-		wide := &crowd{customer: "wide", rate: 260, router: -1}
-		narrow := &crowd{customer: "narrow", rate: 72, router: 3}
-		crowds := []*crowd{wide, narrow}
+		wide := &traffic{customer: "wide", rate: 260, router: -1}
+		narrow := &traffic{customer: "narrow", rate: 72, router: 3}
+		customers := []*traffic{wide, narrow}
 		for i := range 8 {
-			crowds = append(crowds, &crowd{customer: fmt.Sprint("small", i), rate: 4, router: -1})
+			customers = append(customers, &traffic{customer: fmt.Sprint("small", i), rate: 4, router: -1})
 		}
 		r := newRouters(t, 9, seed)
-		r.run(5*time.Second, crowds...)
-		for _, c := range crowds {
-			c.asked, c.got = 0, 0
+		r.run(5*time.Second, customers...)
+		for _, c := range customers {
+			c.requested, c.served = 0, 0
 		}
-		r.run(6*time.Second, crowds...)
-		t.Logf("seed %d: wide asked %d, got %d; narrow asked %d, got %d", seed, wide.asked, wide.got, narrow.asked, narrow.got)
-		assert.Assert(t, 2*narrow.got > min(narrow.asked, wide.got))
-		for _, c := range crowds[2:] {
-			assert.Assert(t, c.got > c.asked*8/10, "%s asked for %d, got %d", c.customer, c.asked, c.got)
+		r.run(6*time.Second, customers...)
+		t.Logf("seed %d: wide requested %d, served %d; narrow requested %d, served %d", seed, wide.requested, wide.served, narrow.requested, narrow.served)
+		assert.Assert(t, 2*narrow.served > min(narrow.requested, wide.served))
+		for _, c := range customers[2:] {
+			assert.Assert(t, c.served > c.requested*8/10, "%s requested %d, was served %d", c.customer, c.requested, c.served)
 		}
 	}
 }
--- a/place/learning_test.go
+++ b/place/learning_test.go
@@ -13,16 +13,16 @@
 	"zinccove.example/zinccove/route"
 )
 
-// learners is a fleet that starts before idle engines, which read forty times faster than
-// their service is stated to produce: far more engines than the fleet needs. Each router sees
-// a request a second.
-type learners struct {
+// learningFleet is a fleet that starts with idle engines, which prefill forty times faster than
+// the stated speed of their service: there are far more engines than the fleet needs. Each router
+// gets one request a second.
+type learningFleet struct {
 	clock   *clockwork.FakeClock
 	random  *rand.Rand
 	placers []*Placer
-	// shares tells whether routers learn from each other's answers.
+	// shares reports whether routers adopt models from each other's replies.
 	shares bool
-	// due are the first events to come.
+	// due are the pending first events.
 	due []dueEvent
 }
 
@@ -37,10 +37,10 @@
 	statedRatio  = 40
 )
 
-func newLearners(t *testing.T, routers, engines int, shares bool, seed uint64) *learners {
+func newLearningFleet(t *testing.T, routers, engines int, shares bool, seed uint64) *learningFleet {
 	t.Helper()
-	l := &learners{clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 9)), shares: shares}
-	stated := float64(engines) * 1000 / (statedRatio * float64(idlePerToken) / float64(time.Millisecond) * readPart)
+	l := &learningFleet{clock: clockwork.NewFakeClock(), random: rand.New(rand.NewPCG(seed, 9)), shares: shares}
+	stated := float64(engines) * 1000 / (statedRatio * float64(idlePerToken) / float64(time.Millisecond) * prefillSpeedRatio)
 	table, err := route.New(route.Spec{
 		Version: 1, Limits: route.Limits{TokensPerSecond: stated},
 		Services: []route.Service{{Name: "model", Engine: &route.Engine{Slots: 16, CacheTokens: 500_000}}},
@@ -58,13 +58,13 @@
 	return l
 }
 
-func (l *learners) owner(target Hash) *Placer {
+func (l *learningFleet) owner(target Hash) *Placer {
 	return l.placers[uint64(target)%uint64(len(l.placers))]
 }
 
-// run plays the traffic of customers of which one asks for most, and returns the ratios of
-// expected to actual times of what is placed after a time, and the part that is refused.
-func (l *learners) run(d, after time.Duration) (ratios []float64, refused float64) {
+// run simulates the traffic of customers, one of which requests the most. It returns the ratios
+// of predicted to actual times of what is placed after a time, and the share of refusals.
+func (l *learningFleet) run(d, after time.Duration) (ratios []float64, refused float64) {
 	asked, refusals := 0, 0
 	for now := time.Duration(0); now < d; now += 10 * time.Millisecond {
 		l.clock.Advance(10 * time.Millisecond)
@@ -77,8 +77,8 @@
 			if l.random.Float64() < 0.5 {
 				customer = fmt.Sprint(l.random.IntN(20))
 			}
-			q := ask(call(fmt.Sprint(l.random.IntN(400)), 8000, 500+l.random.IntN(4000)), customer)
-			d := p.Place(q, l.answers(p, q)...)
+			q := promptRequest(call(fmt.Sprint(l.random.IntN(400)), 8000, 500+l.random.IntN(4000)), customer)
+			d := p.Place(q, l.replies(p, q)...)
 			asked++
 			if d.Run == nil {
 				refusals++
@@ -89,14 +89,14 @@
 			if now >= after {
 				ratios = append(ratios, float64(d.Predicted)/float64(took))
 			}
-			l.tell(i, p)
+			l.sendUpdate(i, p)
 		}
 	}
 	slices.Sort(ratios)
 	return ratios, float64(refusals) / float64(asked)
 }
 
-func (l *learners) events() {
+func (l *learningFleet) events() {
 	now := l.clock.Now()
 	left := l.due[:0]
 	for _, e := range l.due {
@@ -110,7 +110,7 @@
 	l.due = left
 }
 
-func (l *learners) answers(p *Placer, q Request) []Reply {
+func (l *learningFleet) replies(p *Placer, q Request) []Reply {
 	var list []Reply
 	for _, question := range p.Queries(q) {
 		owner := l.owner(question.Target)
@@ -127,8 +127,8 @@
 	return list
 }
 
-// tell tells the routers that answer for targets what a router did there.
-func (l *learners) tell(router int, p *Placer) {
+// sendUpdate sends the update of a router to the owners of the targets.
+func (l *learningFleet) sendUpdate(router int, p *Placer) {
 	n := p.TakeUpdate()
 	parts := make(map[*Placer]*Update)
 	of := func(target Hash) *Update {
@@ -154,27 +154,28 @@
 	}
 }
 
-// TestRoutersOfALargeFleetLearnFromEachOther replays the first seconds of a fleet with far
-// more engines than are stated, with routers that learn alone and with such that take each
-// other's lines. Idle engines refused customers ahead of others as they seemed to read many
+// TestRoutersOfALargeFleetLearnFromEachOther replays the first seconds of a fleet with far more
+// engines than stated, with routers that learn alone and with routers that adopt each other's
+// models. Idle engines refused customers ahead of others because they seemed to prefill many
 // times slower than they do.
 func TestRoutersOfALargeFleetLearnFromEachOther(t *testing.T) {
 	const routers, engines = 60, 600
 	for seed := range uint64(3) {
-		alone, refusedAlone := newLearners(t, routers, engines, false, seed).run(10*time.Second, 8*time.Second)
-		together, refused := newLearners(t, routers, engines, true, seed).run(10*time.Second, 8*time.Second)
+		alone, refusedAlone := newLearningFleet(t, routers, engines, false, seed).run(10*time.Second, 8*time.Second)
+		together, refused := newLearningFleet(t, routers, engines, true, seed).run(10*time.Second, 8*time.Second)
 		nine := func(ratios []float64) float64 { return ratios[len(ratios)*9/10] }
-		t.Logf("seed %d: expected over actual time, nine of ten: alone %.1f, together %.1f; refused %.3f, %.3f", seed, nine(alone), nine(together), refusedAlone, refused)
-		assert.Assert(t, nine(together) < 2, "nine of ten are expected within twice the actual time, not %v", nine(together))
+		t.Logf("seed %d: predicted over actual time, nine of ten: alone %.1f, together %.1f; refused %.3f, %.3f", seed, nine(alone), nine(together), refusedAlone, refused)
+		assert.Assert(t, nine(together) < 2, "nine of ten must be predicted within twice the actual time, not %v", nine(together))
 		assert.Assert(t, nine(together) < nine(alone))
 		assert.Assert(t, refused <= refusedAlone)
 	}
 }
 
-// TestLinesOfRoutersThatLearnedLessAreNotTaken has lines come that are older, empty or wrong.
-func TestLinesOfRoutersThatLearnedLessAreNotTaken(t *testing.T) {
-	s := newSpeed()
-	s.guess(1000)
+// TestModelsWithFewerSamplesAreNotAdopted checks that models with fewer samples and incomplete
+// ones are not adopted.
+func TestModelsWithFewerSamplesAreNotAdopted(t *testing.T) {
+	s := newLatencyEstimator()
+	s.setStatedSpeed(1000)
 	s.learn(5000, time.Second)
 	own := s.LatencyModel
 	for _, l := range []LatencyModel{{}, {Base: 50, PerToken: 1, Samples: 1}, {Base: 50, Samples: 100}, {PerToken: 1, Samples: 100}} {
@@ -184,7 +185,7 @@
 	other := LatencyModel{Base: 60, PerToken: 0.02, Samples: 7}
 	s.adopt(other)
 	assert.Equal(t, s.LatencyModel, other)
-	s.Samples = minRequests
+	s.Samples = minSamples
 	s.adopt(LatencyModel{Base: 50, PerToken: 5, Samples: 1000})
-	assert.Equal(t, s.PerToken, 0.02, "it has learned enough itself")
+	assert.Equal(t, s.PerToken, 0.02, "the router has enough samples of its own")
 }
--- a/place/notices_test.go
+++ b/place/notices_test.go
@@ -11,11 +11,11 @@
 	"zinccove.example/zinccove/roster"
 )
 
-// placedAt counts where requests of many prompts are placed.
-func placedAt(p *Placer, service string) map[string]int {
+// placements counts where requests of many prompts are placed.
+func placements(p *Placer, service string) map[string]int {
 	used := make(map[string]int)
 	for i := range 60 {
-		r := ask(call(fmt.Sprint(i), 1000, 10), "c")
+		r := promptRequest(call(fmt.Sprint(i), 1000, 10), "c")
 		r.Service = service
 		d := p.Place(r)
 		if d.Run == nil {
@@ -31,24 +31,25 @@
 // runAt returns a run at some target of a service.
 func runAt(t *testing.T, p *Placer, service string) *Run {
 	t.Helper()
-	r := ask(call("some", 1000, 10), "c")
+	r := promptRequest(call("some", 1000, 10), "c")
 	r.Service = service
 	d := p.Place(r)
 	assert.Assert(t, d.Run != nil, d.Reason)
 	return d.Run
 }
 
-// TestOwnWordOfLeavingIsNotTakenBack has the store go on saying that a target is ready after
-// it said that it leaves, in all ways in which it can. Another run of it is used.
-func TestOwnWordOfLeavingIsNotTakenBack(t *testing.T) {
+// TestDrainingAnnouncementOverridesEntries has the store list a target as ready, in every
+// possible way, after the target announced that it is draining. A new incarnation of the target
+// is used.
+func TestDrainingAnnouncementOverridesEntries(t *testing.T) {
 	for _, service := range []string{"model", "plain"} {
 		t.Run(service, func(t *testing.T) {
 			p, clock := newTestPlacer(t)
 			run := runAt(t, p, service)
 			id := run.Target.ID
 			assert.Equal(t, run.ApplyNotice(notice.Notice{Draining: true}), notice.Notice{Draining: true})
-			assert.Equal(t, run.ApplyNotice(notice.Notice{Draining: true}), notice.Notice{}, "told twice")
-			assert.Assert(t, run.Unavailable(), "it may have been placed before, and not sent yet")
+			assert.Equal(t, run.ApplyNotice(notice.Notice{Draining: true}), notice.Notice{}, "the announcement was reported as new twice")
+			assert.Assert(t, run.Unavailable(), "a request may have been placed before and not be sent yet")
 			run.End(Answered)
 			all := append(targets("model", 9), targets("plain", 3)...)
 			without := make([]*roster.Target, 0, len(all))
@@ -65,7 +66,7 @@
 			for _, l := range lists {
 				clock.Advance(time.Minute)
 				p.SetTargets(l.list, table(t))
-				assert.Equal(t, placedAt(p, service)[id], 0, l.name)
+				assert.Equal(t, placements(p, service)[id], 0, l.name)
 			}
 			assert.Equal(t, len(p.AnnouncedDraining()), 1)
 			for _, target := range all {
@@ -74,48 +75,49 @@
 				}
 			}
 			p.SetTargets(all, table(t))
-			assert.Assert(t, placedAt(p, service)[id] > 0, "another run is not used")
+			assert.Assert(t, placements(p, service)[id] > 0, "the new incarnation is not used")
 			assert.Equal(t, len(p.AnnouncedDraining()), 0)
 		})
 	}
 }
 
-// TestWordsOfLeavingMayComeBeforeTheTable has another router tell of a target that is not
-// known yet, as it does to a router that starts.
-func TestWordsOfLeavingMayComeBeforeTheTable(t *testing.T) {
+// TestDrainingMayBeReportedBeforeTheTargetIsListed has another router report that a target is
+// draining before the target is listed, as happens to a router that starts.
+func TestDrainingMayBeReportedBeforeTheTargetIsListed(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	p.SetTargets(nil, table(t))
 	assert.Assert(t, p.MarkDraining(HashOf("plain-1")))
 	assert.Assert(t, !p.MarkDraining(HashOf("plain-1")))
 	p.SetTargets(targets("plain", 3), table(t))
-	used := placedAt(p, "plain")
+	used := placements(p, "plain")
 	assert.Equal(t, used["plain-1"], 0)
 	assert.Assert(t, used["plain-0"] > 0 && used["plain-2"] > 0, used)
 }
 
-func TestNoticesOfRunsThatAreGoneAreForgotten(t *testing.T) {
+func TestAnnouncementsExpire(t *testing.T) {
 	p, clock := newTestPlacer(t)
-	for i := range mostNotices + 10 {
+	for i := range maxAnnouncements + 10 {
 		p.MarkDraining(HashOf(fmt.Sprint(i)))
 	}
-	assert.Equal(t, len(p.notices), mostNotices)
-	clock.Advance(noticesFor)
+	assert.Equal(t, len(p.announcements), maxAnnouncements)
+	clock.Advance(announcementTTL)
 	p.SetTargets(targets("plain", 3), table(t))
-	assert.Equal(t, len(p.notices), 0)
+	assert.Equal(t, len(p.announcements), 0)
 }
 
-// TestLastTargetThatLeavesIsNotUsed holds that callers are told at once.
-func TestLastTargetThatLeavesIsNotUsed(t *testing.T) {
+// TestLastDrainingTargetIsNotUsed checks that callers are refused immediately if all targets are
+// draining.
+func TestLastDrainingTargetIsNotUsed(t *testing.T) {
 	p, _ := newTestPlacer(t)
 	for _, target := range targets("plain", 3) {
 		p.MarkDraining(HashOf(target.Incarnation()))
 	}
-	assert.Equal(t, placedAt(p, "plain")[string(NoTarget)], 60)
+	assert.Equal(t, placements(p, "plain")[string(NoTarget)], 60)
 }
 
-// TestTargetThatWantsABackoffGetsNothingUntilItsEnd holds it at the moments around the end,
-// with other targets and without.
-func TestTargetThatWantsABackoffGetsNothingUntilItsEnd(t *testing.T) {
+// TestTargetInBackoffGetsNoRequests checks the times just before and at the end of a backoff,
+// with other targets available.
+func TestTargetInBackoffGetsNoRequests(t *testing.T) {
 	const backoff = 3 * time.Second
 	for _, service := range []string{"model", "plain"} {
 		t.Run(service, func(t *testing.T) {
@@ -123,38 +125,38 @@
 			run := runAt(t, p, service)
 			id := run.Target.ID
 			assert.Equal(t, run.ApplyNotice(notice.Notice{Backoff: backoff}), notice.Notice{Backoff: backoff})
-			assert.Assert(t, run.Unavailable(), "it may have been placed before, and not sent yet")
+			assert.Assert(t, run.Unavailable(), "a request may have been placed before and not be sent yet")
 			run.End(Refused)
 			clock.Advance(backoff - time.Millisecond)
 			p.SetTargets(append(targets("model", 9), targets("plain", 3)...), table(t))
-			used := placedAt(p, service)
+			used := placements(p, service)
 			assert.Equal(t, used[id], 0)
 			assert.Equal(t, used[string(BackingOff)], 0)
 			clock.Advance(time.Millisecond)
-			assert.Assert(t, placedAt(p, service)[id] > 0, "not used after the backoff")
+			assert.Assert(t, placements(p, service)[id] > 0, "not used after the backoff")
 		})
 	}
 }
 
-// TestCallersAreAskedBackWhenTheFirstTargetTakesRequests has all targets of a service ask for
-// backoffs of different length, one of them leave.
-func TestCallersAreAskedBackWhenTheFirstTargetTakesRequests(t *testing.T) {
+// TestRetryAfterIsTheEndOfTheFirstBackoff has all targets of a service ask for backoffs of
+// different lengths; one of them is draining.
+func TestRetryAfterIsTheEndOfTheFirstBackoff(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	for i, backoff := range []time.Duration{4 * time.Second, 2 * time.Second, time.Second} {
-		p.notice(HashOf(fmt.Sprint("plain-", i)), notice.Notice{Backoff: backoff, Draining: i == 2})
+		p.applyNotice(HashOf(fmt.Sprint("plain-", i)), notice.Notice{Backoff: backoff, Draining: i == 2})
 	}
-	r := ask(call("some", 1000, 10), "c")
+	r := promptRequest(call("some", 1000, 10), "c")
 	r.Service = "plain"
 	clock.Advance(500 * time.Millisecond)
-	told := make(map[time.Duration]bool)
+	delays := make(map[time.Duration]bool)
 	for range 50 {
 		d := p.Place(r)
 		assert.Equal(t, d.Reason, BackingOff)
 		assert.Equal(t, d.FirstAvailable, "plain-1")
 		assert.Assert(t, d.RetryAfter >= 1500*time.Millisecond && d.RetryAfter <= 2*time.Second, d.RetryAfter)
-		told[d.RetryAfter] = true
+		delays[d.RetryAfter] = true
 	}
-	assert.Assert(t, len(told) > 10, "all are asked back at the same time")
+	assert.Assert(t, len(delays) > 10, "all callers get the same retry delay")
 	assert.Equal(t, p.Backoff("plain"), 1500*time.Millisecond)
 	assert.Equal(t, p.Backoff("model"), time.Duration(0))
 	clock.Advance(1500 * time.Millisecond)
@@ -163,19 +165,19 @@
 	for _, target := range targets("plain", 3) {
 		p.MarkDraining(HashOf(target.ID))
 	}
-	assert.Equal(t, p.Place(r).Reason, NoTarget, "none of them takes requests again")
+	assert.Equal(t, p.Place(r).Reason, NoTarget, "no target will accept requests again")
 	assert.Equal(t, p.Backoff("plain"), time.Duration(0))
 }
 
-// TestEngineIsGivenWorkByAndByAfterABackoff has an engine take streams that last.
-func TestEngineIsGivenWorkByAndByAfterABackoff(t *testing.T) {
+// TestLoadGrowsGraduallyAfterABackoff has an engine serve long streams after a backoff.
+func TestLoadGrowsGraduallyAfterABackoff(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	p.SetTargets(targets("model", 1), table(t))
 	run := runAt(t, p, "model")
 	run.ApplyNotice(notice.Notice{Backoff: time.Second})
 	run.End(Refused)
 	clock.Advance(time.Second)
-	r := ask(call("some", 1000, 10), "c")
+	r := promptRequest(call("some", 1000, 10), "c")
 	var running []*Run
 	for _, most := range []int{1, 3, 7, 15} {
 		for range 20 {
@@ -183,7 +185,7 @@
 				running = append(running, d.Run)
 			} else {
 				assert.Equal(t, d.Reason, BackingOff)
-				assert.Assert(t, d.RetryAfter >= leastRetry && d.RetryAfter < 2*leastRetry, d.RetryAfter)
+				assert.Assert(t, d.RetryAfter >= minRetryAfter && d.RetryAfter < 2*minRetryAfter, d.RetryAfter)
 			}
 		}
 		assert.Equal(t, len(running), most)
@@ -192,11 +194,11 @@
 			run.FirstEvent(true)
 		}
 	}
-	clock.Advance(recoversFor)
+	clock.Advance(recoveryPeriod)
 	assert.Assert(t, p.Place(r).Run != nil)
 }
 
-// TestTargetWithoutStatedSlotsIsUsedAfterABackoff has an entry that states no slots.
+// TestTargetWithoutStatedSlotsIsUsedAfterABackoff uses an entry that states no slots.
 func TestTargetWithoutStatedSlotsIsUsedAfterABackoff(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	list := targets("plain", 1)
--- a/place/restart_test.go
+++ b/place/restart_test.go
@@ -9,9 +9,9 @@
 	"zinccove.example/zinccove/roster"
 )
 
-// startAgain returns the list of targets in which all of a service started again under
+// restarted returns the list of targets in which all targets of a service have restarted under
 // their ids.
-func startAgain(list []*roster.Target) []*roster.Target {
+func restarted(list []*roster.Target) []*roster.Target {
 	var again []*roster.Target
 	for _, t := range list {
 		next := *t
@@ -22,14 +22,14 @@
 	return again
 }
 
-// TestTargetThatStartsAgainKnowsNothingOfBefore has everything said of a run of a target
-// that can be, and the target start again under its id.
-func TestTargetThatStartsAgainKnowsNothingOfBefore(t *testing.T) {
+// TestRestartedTargetHasNoEarlierState puts one incarnation of a target into every possible state
+// and restarts the target under its id. None of the state may apply to the new incarnation.
+func TestRestartedTargetHasNoEarlierState(t *testing.T) {
 	p, clock := newTestPlacer(t)
 	list := targets("model", 1)
 	list[0].Started = time.Unix(1, 0)
 	p.SetTargets(list, table(t))
-	r := ask(call("part", 5_000, 10), "c")
+	r := promptRequest(call("part", 5_000, 10), "c")
 	before := p.Place(r)
 	sent := p.Place(r)
 	clock.Advance(10 * time.Second)
@@ -38,16 +38,16 @@
 	}
 	p.Place(r).Run.End(Replaced)
 	assert.Equal(t, p.Place(r).Reason, NoTarget)
-	p.SetTargets(startAgain(list), table(t))
-	assert.Assert(t, before.Run.Unavailable(), "what was not sent yet goes to no other run")
+	p.SetTargets(restarted(list), table(t))
+	assert.Assert(t, before.Run.Unavailable(), "a request that is not sent yet must not go to another incarnation")
 	r.Tried = []string{before.Run.Target.Incarnation()}
 	after := p.Place(r)
 	assert.Assert(t, after.Run != nil)
 	assert.Equal(t, after.Outstanding, 0)
 	assert.Equal(t, after.Backlog, 0)
-	assert.Equal(t, after.PrefillTokens, 5_010, "it keeps nothing")
+	assert.Equal(t, after.PrefillTokens, 5_010, "the new incarnation has nothing cached")
 	assert.Equal(t, after.Slowness, 1.0)
-	// The runs of before end late.
+	// The runs at the earlier incarnation end late.
 	before.Run.FirstEvent(true)
 	before.Run.End(Failed)
 	sent.Run.End(Replaced)
@@ -57,19 +57,19 @@
 	assert.Equal(t, next.Backlog, 5_010)
 }
 
-// TestRouterThatAnswersForANewRunTakesItForEmpty has a target start in a fleet that
-// runs. The router that answers for it would else expect it to keep all prompts.
-func TestRouterThatAnswersForANewRunTakesItForEmpty(t *testing.T) {
+// TestOwnerTreatsNewIncarnationAsEmpty restarts a target in a running fleet. Its owner must not
+// assume that the new incarnation has all prompts cached.
+func TestOwnerTreatsNewIncarnationAsEmpty(t *testing.T) {
 	p, clock := newTestPlacer(t)
-	p.fresh = false
+	p.firstStart = false
 	list := targets("model", 1)
 	list[0].Started = time.Unix(1, 0)
 	p.SetTargets(list, table(t))
 	clock.Advance(time.Minute)
-	again := startAgain(list)
+	again := restarted(list)
 	p.SetTargets(again, table(t))
 	p.SetOwned(map[Hash]bool{HashOf(again[0].Incarnation()): true})
-	q := p.Queries(ask(call("part", 5_000, 10), "c"))[0]
+	q := p.Queries(promptRequest(call("part", 5_000, 10), "c"))[0]
 	a, ok := p.Reply(q)
 	assert.Assert(t, ok)
 	assert.Equal(t, a.PrefillTokens, 5_010)
