--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -186,7 +186,7 @@
 		Address: s.ListenCaller, Clock: d.clock, Syncer: d.syncer, Dispatcher: d.dispatcher, Claims: d.claims,
 		Clients: d.clients, Quarantine: d.quarantine, Metrics: d.metrics, NewID: uuid.NewString,
 		Limits: ingress.Limits{BodyBytes: s.MaxBodyBytes, HeaderBytes: s.MaxHeaderBytes, Connections: s.MaxConnections,
-			Timeout: s.RequestTimeout, Write: s.WriteTimeout, StopTimeout: s.StopTimeout},
+			RequestTimeout: s.RequestTimeout, WriteTimeout: s.WriteTimeout, StopTimeout: s.StopTimeout},
 	})
 	if err != nil {
 		return err
--- a/ingress/notice_test.go
+++ b/ingress/backoff_test.go
@@ -11,15 +11,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCallersAreToldWhenTheOnlyTargetWantsABackoff has a target turn a call away and ask for
-// a backoff longer than callers wait. Routers left such a target alone for half a second only and
-// then sent it what had waited, and calls that nobody could serve were held until their
-// deadline.
-func TestCallersAreToldWhenTheOnlyTargetWantsABackoff(t *testing.T) {
+// TestCallsAreRefusedWhileTheOnlyTargetBacksOff has a target refuse a call and request a
+// backoff that is longer than the deadline of the calls. It guards against two failures: routers
+// backed off for only half a second and then sent the target the queued calls, and calls that no
+// target could serve were held until their deadline.
+func TestCallsAreRefusedWhileTheOnlyTargetBacksOff(t *testing.T) {
 	const (
 		backoff = 3 * time.Second
 		timeout = 900 * time.Millisecond
-		soon    = 300 * time.Millisecond
+		maxTime = 300 * time.Millisecond
 	)
 	for _, header := range []string{fasthttp.HeaderRetryAfter, "X-Target-Leaving"} {
 		t.Run(header, func(t *testing.T) {
@@ -46,10 +46,10 @@
 				assert.NilError(t, fasthttp.DoTimeout(req, resp, 5*time.Second))
 				took := time.Since(began)
 				assert.Equal(t, resp.StatusCode(), fasthttp.StatusServiceUnavailable, string(resp.Body()))
-				assert.Assert(t, took < soon, "call %d was held for %v", i, took)
-				told, err := strconv.Atoi(string(resp.Header.Peek(fasthttp.HeaderRetryAfter)))
+				assert.Assert(t, took < maxTime, "call %d took %v", i, took)
+				retryAfter, err := strconv.Atoi(string(resp.Header.Peek(fasthttp.HeaderRetryAfter)))
 				assert.NilError(t, err)
-				assert.Assert(t, time.Duration(told)*time.Second > backoff-2*time.Second, "told %d s", told)
+				assert.Assert(t, time.Duration(retryAfter)*time.Second > backoff-2*time.Second, "Retry-After is %d s", retryAfter)
 				time.Sleep(150 * time.Millisecond)
 			}
 			assert.Equal(t, arrived.Load(), int32(1))
--- a/ingress/ending_test.go
+++ b/ingress/barred_test.go
@@ -12,19 +12,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestCallThatEndsItsTargetIsNotSentAgain has a call that ends the target which runs it, and
-// comes again: nothing bounded that, as each try is a request of its own. Other calls, and
-// the same one for another path, are served.
-func TestCallThatEndsItsTargetIsNotSentAgain(t *testing.T) {
-	const away = 900 * time.Millisecond
-	var ended atomic.Int32
-	var back atomic.Int64
+// TestCallThatTerminatesItsTargetsIsBarred guards against a call that terminates each
+// target that runs it and is sent again by its caller: a limit of attempts does not bound
+// that, as each repetition is a new request. Other calls, and the same body on another path,
+// must be served.
+func TestCallThatTerminatesItsTargetsIsBarred(t *testing.T) {
+	const restartTime = 900 * time.Millisecond
+	var terminations atomic.Int32
+	var restartedAt atomic.Int64
 	to := listenHTTP(t, func(ctx *fasthttp.RequestCtx) {
-		down := time.Now().UnixNano() < back.Load()
+		down := time.Now().UnixNano() < restartedAt.Load()
 		ends := !down && string(ctx.PostBody()) == "ends" && string(ctx.Path()) == "/a"
 		if ends {
-			ended.Add(1)
-			back.Store(time.Now().Add(away).UnixNano())
+			terminations.Add(1)
+			restartedAt.Store(time.Now().Add(restartTime).UnixNano())
 		}
 		if down || ends {
 			ctx.HijackSetNoResponse(true)
@@ -34,7 +35,7 @@
 		ctx.Response.Header.SetBytesV("X-Attempt-Id", ctx.Request.Header.Peek("X-Attempt-Id"))
 	})
 	s := newServer(t, to)
-	ask := func(path, body string) (int, string) {
+	call := func(path, body string) (int, string) {
 		req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseRequest(req)
 		defer fasthttp.ReleaseResponse(resp)
@@ -47,16 +48,16 @@
 		return resp.StatusCode(), string(resp.Body())
 	}
 	for range 5 {
-		status, body := ask("/a", "ends")
+		status, body := call("/a", "ends")
 		assert.Assert(t, status != fasthttp.StatusOK, body)
 		time.Sleep(1050 * time.Millisecond)
 	}
-	assert.Equal(t, ended.Load(), int32(2))
-	status, body := ask("/a", "ends")
+	assert.Equal(t, terminations.Load(), int32(2))
+	status, body := call("/a", "ends")
 	assert.Equal(t, status, fasthttp.StatusUnprocessableEntity)
 	assert.Assert(t, strings.Contains(body, `"code":"ends_targets"`) && strings.Contains(body, `"outcome":"not_run"`), body)
 	for _, other := range [][2]string{{"/a", "fine"}, {"/b", "ends"}} {
-		status, body := ask(other[0], other[1])
+		status, body := call(other[0], other[1])
 		assert.Equal(t, status, fasthttp.StatusOK, body)
 	}
 }
--- a/ingress/bench_test.go
+++ b/ingress/bench_test.go
@@ -42,7 +42,7 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// newServer returns a router's ingress in front of one service target.
+// newServer returns the ingress of a router with one service target at address to.
 func newServer(t testing.TB, to netip.AddrPort) *Server {
 	t.Helper()
 	clock := clockwork.NewRealClock()
@@ -68,7 +68,7 @@
 	claims := claim.New(claim.Options{Table: table, Clock: clock})
 	s, err := Listen(Options{
 		Address: loopback, Clock: clock, Syncer: syncer, Dispatcher: d, Claims: claims, Clients: clients, Quarantine: quarantine.New(clock), Metrics: metrics, NewID: uuid.NewString,
-		Limits: Limits{BodyBytes: 1 << 20, HeaderBytes: 16 << 10, Connections: 1000, Timeout: time.Minute, Write: time.Minute, StopTimeout: time.Second},
+		Limits: Limits{BodyBytes: 1 << 20, HeaderBytes: 16 << 10, Connections: 1000, RequestTimeout: time.Minute, WriteTimeout: time.Minute, StopTimeout: time.Second},
 	})
 	assert.NilError(t, err)
 	t.Cleanup(func() {
@@ -80,14 +80,14 @@
 	return s
 }
 
-// echo answers at once, as a target does.
+// echo responds immediately, as a target does.
 func echo(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Header.Set(target.HeaderAttempt, string(ctx.Request.Header.Peek(target.HeaderAttempt)))
 	fmt.Fprint(ctx, "ok")
 }
 
-// drive calls an address from many connections.
-func drive(b *testing.B, to netip.AddrPort, path string) {
+// benchmarkCalls calls an address over many connections in parallel.
+func benchmarkCalls(b *testing.B, to netip.AddrPort, path string) {
 	client := &fasthttp.HostClient{Addr: to.String(), MaxConns: 1000}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -104,20 +104,20 @@
 	})
 }
 
-// BenchmarkCall has clients, router and target in one process; compare it with
-// BenchmarkPassthrough.
+// BenchmarkCall runs clients, router and target in one process; compare it
+// with BenchmarkPassthrough.
 func BenchmarkCall(b *testing.B) {
 	s := newServer(b, listenHTTP(b, echo))
-	drive(b, s.Address(), "/services/s/x")
+	benchmarkCalls(b, s.Address(), "/services/s/x")
 }
 
 func BenchmarkPassthrough(b *testing.B) {
 	to := listenHTTP(b, echo)
 	client := &fasthttp.HostClient{Addr: to.String(), MaxConns: 1000}
-	through := listenHTTP(b, func(ctx *fasthttp.RequestCtx) {
+	proxy := listenHTTP(b, func(ctx *fasthttp.RequestCtx) {
 		if err := client.Do(&ctx.Request, &ctx.Response); err != nil {
 			ctx.Error(err.Error(), fasthttp.StatusBadGateway)
 		}
 	})
-	drive(b, through, "/x")
+	benchmarkCalls(b, proxy, "/x")
 }
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -21,13 +21,13 @@
 	if service == nil {
 		r := refuse(CodeUnknownService, "there is no such service")
 		r.Field = "path"
-		s.end(ctx, r)
+		s.writeRefusal(ctx, r)
 		return
 	}
 	once := service.RunsOnce(string(ctx.Method()), path)
 	f, r := s.newFlow(ctx, body, customer, service.Number, !once)
 	if r != nil {
-		s.end(ctx, r)
+		s.writeRefusal(ctx, r)
 		return
 	}
 	s.accepted.Add(1) // for the flow
@@ -40,40 +40,40 @@
 		r = f.call(ctx)
 	}
 	if r != nil {
-		s.end(ctx, r)
+		s.writeRefusal(ctx, r)
 		return
 	}
 	s.options.Metrics.Inc(metric.RequestsAnswered)
 }
 
-// call sends the call until it is answered or given up.
+// call makes attempts until one succeeds or the request is refused.
 func (f *flow) call(ctx *fasthttp.RequestCtx) *Refusal {
 	for {
 		if r := f.acquire(); r != nil {
 			return r
 		}
-		fail := f.try(ctx)
+		fail := f.attemptCall(ctx)
 		if fail == nil {
 			return nil
 		}
-		if r := f.failed(fail); r != nil {
+		if r := f.handleFailure(fail); r != nil {
 			return r
 		}
 	}
 }
 
-// hopHeaders are headers of one connection, and the customer's key; they are
-// not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders are the headers of one connection, and Authorization, which
+// contains the customer's key. They are not forwarded.
+var hopByHopHeaders = []string{
 	fasthttp.HeaderConnection, fasthttp.HeaderKeepAlive, fasthttp.HeaderTransferEncoding, fasthttp.HeaderTE,
 	fasthttp.HeaderTrailer, fasthttp.HeaderUpgrade, fasthttp.HeaderAuthorization,
 }
 
-// prepareCall makes the caller's request the one for the target. It is not
-// used otherwise any more.
+// prepareCall rewrites the caller's request into the one for the target. The
+// original is not used afterwards.
 func prepareCall(ctx *fasthttp.RequestCtx, body []byte, path string) {
 	req := &ctx.Request
-	for _, h := range hopHeaders {
+	for _, h := range hopByHopHeaders {
 		req.Header.Del(h)
 	}
 	req.Header.ResetConnectionClose()
@@ -81,8 +81,9 @@
 	req.SetBodyRaw(body)
 }
 
-// try makes one attempt and, if it is answered, makes that the answer.
-func (f *flow) try(ctx *fasthttp.RequestCtx) *target.Failure {
+// attemptCall makes one attempt. If it succeeds, its response becomes the
+// response to the caller.
+func (f *flow) attemptCall(ctx *fasthttp.RequestCtx) *target.Failure {
 	started := f.server.options.Clock.Now()
 	a := f.attempt()
 	resp := &ctx.Response
@@ -93,9 +94,9 @@
 	}
 	f.request.Stream()
 	f.release(dispatch.Completed)
-	f.answered()
+	f.recordResponse()
 	resp.Header.ResetConnectionClose()
-	for _, h := range hopHeaders {
+	for _, h := range hopByHopHeaders {
 		resp.Header.Del(h)
 	}
 	resp.Header.Del(target.HeaderAttempt)
--- a/ingress/chunk.go
+++ b/ingress/chunk.go
@@ -10,7 +10,7 @@
 	"zinccove.example/zinccove/target"
 )
 
-// chunk is one event of a streamed answer, or a whole answer.
+// chunk is one event of a streamed response, or a complete response.
 type chunk struct {
 	ID      string        `json:"id"`
 	Object  string        `json:"object"`
@@ -25,7 +25,8 @@
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// chunk makes a chunk of text; end is the end mark if text is the last part.
+// chunk returns a chunk of text; end is the final event if text is the last
+// part, otherwise nil.
 func (c *completion) chunk(text string, end *target.Event) *chunk {
 	ch := &chunk{ID: c.request.ID(), Object: "text_completion", Model: c.model.Name, Choices: []choice{{Text: text}}}
 	if end != nil {
@@ -38,7 +39,7 @@
 func encodeChunk(ch *chunk) []byte {
 	b, err := json.Marshal(ch)
 	if err != nil {
-		panic("ingress: all field types marshal: " + err.Error())
+		panic("ingress: encode chunk: " + err.Error())
 	}
 	return b
 }
@@ -53,11 +54,11 @@
 }
 
 // encodeToken encodes the chunk of one token. The parts around the text are
-// the same for all tokens of a request and are made once.
+// the same for all tokens of a request and are encoded once.
 func (c *completion) encodeToken(text string) []byte {
 	if c.prefix == nil {
-		whole := encodeChunk(c.chunk("\x00", nil))
-		c.prefix, c.suffix, _ = bytes.Cut(whole, []byte(`"\u0000"`))
+		encoded := encodeChunk(c.chunk("\x00", nil))
+		c.prefix, c.suffix, _ = bytes.Cut(encoded, []byte(`"\u0000"`))
 	}
 	c.scratch = append(c.scratch[:0], c.prefix...)
 	c.scratch = jsonString(c.scratch, text)
@@ -65,7 +66,7 @@
 	return c.scratch
 }
 
-// writeData writes a server-sent event. Errors show at the next flush.
+// writeData writes a server-sent event. Errors are returned by the next flush.
 func writeData(w *bufio.Writer, data []byte) {
 	w.WriteString("data: ") //nolint:errcheck // sticky
 	w.Write(data)           //nolint:errcheck // sticky
--- a/ingress/completion.go
+++ b/ingress/completion.go
@@ -23,34 +23,34 @@
 	model  *config.Model
 	body   *fastjson.Value
 	stream bool
-	// input is the number of input tokens charged so far.
-	input     int
-	delivered int
-	current   *target.Stream
+	// chargedInput is the number of input tokens charged so far.
+	chargedInput  int
+	delivered     int
+	attemptStream *target.Stream
 	// prefix and suffix surround the text in the chunk of a token; scratch
 	// holds the last chunk.
 	prefix, suffix, scratch []byte
 }
 
-// complete serves a request for a model. It ends the flow, or hands that over
-// to the writer of the streamed answer.
+// complete serves a request for a model. It closes the flow, or leaves that to
+// the writer of the streamed response.
 func (s *Server) complete(ctx *fasthttp.RequestCtx, body []byte, snap *confsync.Snapshot, customer *config.Customer) {
 	c, r := s.newCompletion(ctx, body, snap, customer)
 	if r != nil {
-		s.end(ctx, r)
+		s.writeRefusal(ctx, r)
 		s.accepted.Add(-1)
 		return
 	}
 	first, r := c.next()
 	if r != nil {
 		c.close()
-		s.end(ctx, r)
+		s.writeRefusal(ctx, r)
 		return
 	}
 	s.options.Metrics.Observe(metric.FirstToken, s.options.Clock.Since(c.accepted))
 	ctx.Response.Header.Set(headerRequestID, c.request.ID())
 	if !c.stream {
-		c.answerWhole(ctx, first)
+		c.writeResponse(ctx, first)
 		c.close()
 		return
 	}
@@ -58,11 +58,11 @@
 	conn := ctx.Conn()
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
 		defer c.close()
-		c.answerStream(w, conn, first)
+		c.writeStream(w, conn, first)
 	})
 }
 
-// newCompletion checks the body and starts the life cycle.
+// newCompletion validates the body and returns a completion with its flow.
 func (s *Server) newCompletion(ctx *fasthttp.RequestCtx, raw []byte, snap *confsync.Snapshot, customer *config.Customer) (*completion, *Refusal) {
 	body, err := fastjson.ParseBytes(raw)
 	if err != nil || body.Type() != fastjson.TypeObject {
@@ -87,7 +87,7 @@
 		return nil, r
 	}
 	f.watch()
-	f.submit.Hint = uint64(body.GetInt("max_tokens"))
+	f.submission.Hint = uint64(body.GetInt("max_tokens"))
 	return &completion{flow: f, model: model, body: body, stream: body.GetBool("stream")}, nil
 }
 
@@ -97,31 +97,31 @@
 	return r
 }
 
-// next returns the next event of the answer. It queues, sends and resumes as
-// needed; a refusal is final.
+// next returns the next event of the response. It queues, sends and resumes
+// the request as needed; a refusal is final.
 func (c *completion) next() (target.Event, *Refusal) {
 	for {
-		if c.current == nil {
+		if c.attemptStream == nil {
 			if r := c.start(); r != nil {
 				return target.Event{}, r
 			}
 			continue
 		}
-		ev, fail := c.current.Next()
+		ev, fail := c.attemptStream.Next()
 		if fail != nil {
-			c.drop()
-			if r := c.failed(fail); r != nil {
+			c.endAttempt()
+			if r := c.handleFailure(fail); r != nil {
 				return target.Event{}, r
 			}
 			continue
 		}
-		c.account(ev)
+		c.recordEvent(ev)
 		return ev, nil
 	}
 }
 
-// start gets a slot and sends an attempt. Without a refusal the attempt is
-// current, or failed and may be repeated.
+// start acquires a slot and sends an attempt. If it returns no refusal, the
+// attempt is the current one, or it failed and may be repeated.
 func (c *completion) start() *Refusal {
 	if r := c.acquire(); r != nil {
 		return r
@@ -133,9 +133,9 @@
 	client := c.server.options.Clients.Get(c.slot.Target().Address)
 	s, fail := client.Stream(a, c.encode(), c.delivered)
 	if fail != nil {
-		return c.failed(fail)
+		return c.handleFailure(fail)
 	}
-	c.current = s
+	c.attemptStream = s
 	c.chargeInput(c.server.input.tokens(c.model.Number, c.promptBytes()))
 	if !c.setStream(s, func() { client.Cancel(a.ID) }) {
 		s.Close()
@@ -143,7 +143,7 @@
 	return nil
 }
 
-// encode returns the body for the engine.
+// encode returns the request body for the engine.
 func (c *completion) encode() []byte {
 	var arena fastjson.Arena
 	c.body.Set("stream", arena.NewTrue())
@@ -153,25 +153,26 @@
 	return c.body.MarshalTo(nil)
 }
 
-// drop ends the current attempt.
-func (c *completion) drop() {
+// endAttempt closes the stream of the current attempt.
+func (c *completion) endAttempt() {
 	c.setStream(nil, nil)
-	c.current.Close()
-	c.current = nil
+	c.attemptStream.Close()
+	c.attemptStream = nil
 }
 
 func (c *completion) promptBytes() int { return len(c.body.GetStringBytes("prompt")) }
 
 // chargeInput charges input tokens up to a total of n.
 func (c *completion) chargeInput(n int) {
-	if n > c.input {
-		c.slot.Charge(uint64(n - c.input))
-		c.input = n
+	if n > c.chargedInput {
+		c.slot.Charge(uint64(n - c.chargedInput))
+		c.chargedInput = n
 	}
 }
 
-// account charges what an event delivered and ends the request at the last.
-func (c *completion) account(ev target.Event) {
+// recordEvent charges the tokens that an event delivered. The last event completes
+// the request.
+func (c *completion) recordEvent(ev target.Event) {
 	c.request.Stream()
 	c.partial = true
 	if ev.Kind == target.Token {
@@ -181,20 +182,20 @@
 		return
 	}
 	c.chargeInput(ev.Usage.PromptTokens)
-	c.server.input.learn(c.model.Number, c.promptBytes(), ev.Usage.PromptTokens)
-	c.drop()
+	c.server.input.observe(c.model.Number, c.promptBytes(), ev.Usage.PromptTokens)
+	c.endAttempt()
 	c.release(dispatch.Completed)
-	c.answered()
+	c.recordResponse()
 }
 
-// answerWhole collects the answer into one JSON object.
-func (c *completion) answerWhole(ctx *fasthttp.RequestCtx, ev target.Event) {
+// writeResponse collects the response into one JSON object.
+func (c *completion) writeResponse(ctx *fasthttp.RequestCtx, ev target.Event) {
 	var text strings.Builder
 	for ev.Kind == target.Token {
 		text.WriteString(ev.Text)
 		var r *Refusal
 		if ev, r = c.next(); r != nil {
-			c.server.end(ctx, r)
+			c.server.writeRefusal(ctx, r)
 			return
 		}
 	}
@@ -203,13 +204,13 @@
 	ctx.SetBody(encodeChunk(c.chunk(text.String(), &ev)))
 }
 
-// answerStream writes each event as it comes. After a failure the stream ends
-// with an error event and without the end mark.
-func (c *completion) answerStream(w *bufio.Writer, conn net.Conn, ev target.Event) {
+// writeStream writes each event as it arrives. After a failure the stream ends
+// with an error event and without [DONE].
+func (c *completion) writeStream(w *bufio.Writer, conn net.Conn, ev target.Event) {
 	clock := c.server.options.Clock
 	for {
 		c.writeEvent(w, &ev)
-		until := clock.Now().Add(c.server.options.Limits.Write)
+		until := clock.Now().Add(c.server.options.Limits.WriteTimeout)
 		conn.SetWriteDeadline(bootclock.Steady(clock, until)) //nolint:errcheck // the write fails then
 		if err := w.Flush(); err != nil {
 			c.abort()
@@ -228,13 +229,13 @@
 	}
 }
 
-// abort ends a request whose caller does not take the answer.
+// abort ends a request whose caller does not accept the response.
 func (c *completion) abort() {
 	c.interrupt()
-	if c.current == nil {
+	if c.attemptStream == nil {
 		return
 	}
-	c.drop()
+	c.endAttempt()
 	c.release(dispatch.Cancelled)
 	if c.request.State() != request.Ended {
 		c.request.GiveUp(true)
--- a/ingress/flow.go
+++ b/ingress/flow.go
@@ -19,33 +19,33 @@
 	"zinccove.example/zinccove/target"
 )
 
-// flow carries one request through queue and attempts. One goroutine uses it;
-// only interrupt may be called by others.
+// flow carries one request through the queue and its attempts. It is used by
+// one goroutine; only interrupt may be called by others.
 type flow struct {
-	server   *Server
-	request  *request.Request
-	submit   dispatch.Request
-	accepted time.Time
-	deadline time.Time
-	slot     *dispatch.Slot
-	// asks is what the request asks for.
-	asks quarantine.Content
-	// partial is set once the current attempt has brought a part of the answer.
+	server     *Server
+	request    *request.Request
+	submission dispatch.Request
+	accepted   time.Time
+	deadline   time.Time
+	slot       *dispatch.Slot
+	// content identifies the request for the quarantine.
+	content quarantine.Content
+	// partial is set once the current attempt has received a part of the response.
 	partial bool
 	conn    net.Conn
-	// unwatch ends the watch of conn, if there is one.
+	// unwatch stops watching conn; it is nil until watch is called.
 	unwatch func()
 
 	mu sync.Mutex
-	// ended is closed when the caller went away.
-	ended chan struct{}
-	gone  bool
-	// stream is the attempt that interrupt has to end; cancel tells its engine.
+	// callerDone is closed when the caller has disconnected.
+	callerDone   chan struct{}
+	disconnected bool
+	// stream is the attempt that interrupt closes; cancel cancels it at its engine.
 	stream *target.Stream
 	cancel func()
 }
 
-// watch ends the flow when the caller goes away.
+// watch interrupts the flow when the caller disconnects.
 func (f *flow) watch() {
 	if f.unwatch == nil {
 		f.unwatch = f.server.watcher.Watch(f.conn, f.interrupt)
@@ -55,11 +55,11 @@
 func (f *flow) interrupt() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.gone {
+	if f.disconnected {
 		return
 	}
-	f.gone = true
-	close(f.ended)
+	f.disconnected = true
+	close(f.callerDone)
 	f.server.options.Metrics.Inc(metric.CallersGone)
 	if f.stream == nil {
 		return
@@ -72,29 +72,29 @@
 	})
 }
 
-func (f *flow) callerGone() bool {
+func (f *flow) callerDisconnected() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.gone
+	return f.disconnected
 }
 
-// setStream makes s the stream that interrupt ends. It reports false when the
-// caller is gone already.
+// setStream makes s the stream that interrupt closes. It returns false if the
+// caller has already disconnected.
 func (f *flow) setStream(s *target.Stream, cancel func()) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stream, f.cancel = s, cancel
-	return !f.gone
+	return !f.disconnected
 }
 
 // acquire waits in the queue for a slot.
 func (f *flow) acquire() *Refusal {
-	if f.server.options.Quarantine.Barred(&f.asks) {
+	if f.server.options.Quarantine.Barred(&f.content) {
 		f.server.options.Metrics.Inc(metric.RequestsBarred)
 		return f.giveUp(refuse(CodeEndsTargets, "targets ended while they ran this request, so it is not run again"))
 	}
 	f.request.Queue()
-	ticket, err := f.server.options.Dispatcher.Submit(f.submit)
+	ticket, err := f.server.options.Dispatcher.Submit(f.submission)
 	if err != nil {
 		var refused *dispatch.RefusedError
 		eris.As(err, &refused)
@@ -102,14 +102,15 @@
 	}
 	select {
 	case slot, ok := <-ticket.Granted():
-		return f.take(ticket, slot, ok)
+		return f.assignSlot(ticket, slot, ok)
 	default:
 	}
-	return f.await(ticket)
+	return f.awaitSlot(ticket)
 }
 
-// take makes a granted slot the flow's own.
-func (f *flow) take(ticket *dispatch.Ticket, slot *dispatch.Slot, ok bool) *Refusal {
+// assignSlot assigns a granted slot to the flow. If ok is false, no slot was granted,
+// and it returns the refusal of the ticket.
+func (f *flow) assignSlot(ticket *dispatch.Ticket, slot *dispatch.Slot, ok bool) *Refusal {
 	if !ok {
 		return f.giveUp(queueRefusal(ticket.Refusal()))
 	}
@@ -118,29 +119,29 @@
 	return nil
 }
 
-// await waits for the slot, the deadline or the end of the caller.
-func (f *flow) await(ticket *dispatch.Ticket) *Refusal {
+// awaitSlot waits for the slot, the deadline or the disconnection of the caller.
+func (f *flow) awaitSlot(ticket *dispatch.Ticket) *Refusal {
 	f.watch()
 	timeout := f.server.options.Clock.NewTimer(f.deadline.Sub(f.server.options.Clock.Now()))
 	defer timeout.Stop()
 	select {
 	case slot, ok := <-ticket.Granted():
-		return f.take(ticket, slot, ok)
+		return f.assignSlot(ticket, slot, ok)
 	case <-timeout.Chan():
 		ticket.Abandon()
-		return f.giveUp(retryLater(refuse(CodeDeadline, "the deadline passed while the request waited")))
-	case <-f.ended:
+		return f.giveUp(withRetryAfter(refuse(CodeDeadline, "the deadline passed while the request waited")))
+	case <-f.callerDone:
 		ticket.Abandon()
 		return f.giveUp(refuse(CodeCallerGone, "the caller went away"))
 	}
 }
 
-func retryLater(r *Refusal) *Refusal {
-	r.RetryAfter = defaultRetry
+func withRetryAfter(r *Refusal) *Refusal {
+	r.RetryAfter = defaultRetryDelay
 	return r
 }
 
-// attempt returns the next attempt for the slot.
+// attempt returns the next attempt, for the slot that the flow holds.
 func (f *flow) attempt() target.Attempt {
 	f.partial = false
 	f.server.options.Metrics.Inc(metric.Attempts)
@@ -157,7 +158,7 @@
 	}
 }
 
-// release gives the slot back.
+// release returns the slot, if the flow holds one, to the dispatcher.
 func (f *flow) release(r dispatch.Result) {
 	if f.slot != nil {
 		f.slot.Release(r)
@@ -165,77 +166,78 @@
 	}
 }
 
-// giveUp ends the request with a refusal that tells its outcome.
+// giveUp ends the request with a refusal that carries the request's outcome.
 func (f *flow) giveUp(r *Refusal) *Refusal {
 	f.request.GiveUp(false)
-	return f.refused(r)
+	return f.withOutcome(r)
 }
 
-func (f *flow) refused(r *Refusal) *Refusal {
+func (f *flow) withOutcome(r *Refusal) *Refusal {
 	r.Outcome = f.request.Outcome()
 	r.RequestID = f.request.ID()
 	return r
 }
 
-// failed records a failed attempt. It returns nil if the request is to be
-// queued again, else what the caller is told.
-func (f *flow) failed(fail *target.Failure) *Refusal {
+// handleFailure records a failed attempt. It returns nil if the request is to be
+// queued again, otherwise the refusal for the caller.
+func (f *flow) handleFailure(fail *target.Failure) *Refusal {
 	if fail.Kind == target.Crossed {
 		f.server.options.Metrics.Inc(metric.AttemptsCrossed)
 	}
-	f.submit.Avoid = f.slot.Target().Number
+	f.submission.Avoid = f.slot.Target().Number
 	now := f.server.options.Clock.Now()
-	if f.callerGone() {
-		// The attempt was ended from here, which says nothing of the target.
+	if f.callerDisconnected() {
+		// This router closed the attempt, so its failure is no evidence against the target.
 		f.release(dispatch.Cancelled)
 		f.request.GiveUp(true)
-		return f.refused(refuse(CodeCallerGone, "the caller went away"))
+		return f.withOutcome(refuse(CodeCallerGone, "the caller went away"))
 	}
 	if fail.Dropped() {
-		f.server.options.Quarantine.RecordLoss(&f.asks, quarantine.Loss{Target: runOf(f.slot.Target(), now), Partial: f.partial})
+		f.server.options.Quarantine.RecordLoss(&f.content, quarantine.Loss{Target: incarnationOf(f.slot.Target(), now), Partial: f.partial})
 	}
-	f.release(results[fail.Kind])
+	f.release(dispatchResults[fail.Kind])
 	if f.request.Fail(fail.Kind, now, f.server.retries.Take) == request.Retry {
 		f.backOff()
 		return nil
 	}
 	if !now.Before(f.deadline) {
-		return f.refused(retryLater(refuse(CodeDeadline, "the deadline passed while the request ran")))
+		return f.withOutcome(withRetryAfter(refuse(CodeDeadline, "the deadline passed while the request ran")))
 	}
-	return f.refused(failureRefusal(fail))
+	return f.withOutcome(failureRefusal(fail))
 }
 
-// runOf names the run of a target that ended. Targets that operators declare do not say when
-// they started: those that ended in the same second are taken for one run.
-func runOf(t config.Target, ended time.Time) quarantine.IncarnationHash {
+// incarnationOf identifies the incarnation of a target that terminated. Targets that operators
+// declare do not report when they started: terminations of a target in the same second are
+// treated as one incarnation.
+func incarnationOf(t config.Target, ended time.Time) quarantine.IncarnationHash {
 	var b [12]byte
 	binary.BigEndian.PutUint32(b[:4], t.Number)
 	binary.BigEndian.PutUint64(b[4:], uint64(ended.Unix()))
 	return quarantine.IncarnationHash(xxhash.Sum64(b[:]))
 }
 
-// answered notes that the whole answer came.
-func (f *flow) answered() {
+// recordResponse records that the complete response was received.
+func (f *flow) recordResponse() {
 	f.request.Answer()
-	f.server.options.Quarantine.RecordResponse(&f.asks)
+	f.server.options.Quarantine.RecordResponse(&f.content)
 }
 
-// firstBackOff is the longest wait before the first retry; it doubles with
+// initialBackoff is the maximum delay before the first retry; it doubles with
 // each attempt.
-const firstBackOff = 10 * time.Millisecond
+const initialBackoff = 10 * time.Millisecond
 
-// backOff waits a random time before a retry, so that the requests of a target
-// that broke do not come back all at once.
+// backOff waits a random time before a retry, so that the requests of a failed
+// target are not all retried at the same time.
 func (f *flow) backOff() {
-	longest := firstBackOff << (f.request.Attempts() - 1)
+	maxDelay := initialBackoff << (f.request.Attempts() - 1)
 	select {
-	case <-f.server.options.Clock.After(rand.N(longest)):
-	case <-f.ended:
+	case <-f.server.options.Clock.After(rand.N(maxDelay)):
+	case <-f.callerDone:
 	}
 }
 
-// results tells the dispatcher how an attempt failed.
-var results = map[target.Kind]dispatch.Result{
+// dispatchResults maps the failure of an attempt to the result for the dispatcher.
+var dispatchResults = map[target.Kind]dispatch.Result{
 	target.NotSent:  dispatch.Failed,
 	target.Refused:  dispatch.Refused,
 	target.Broken:   dispatch.Failed,
@@ -247,16 +249,16 @@
 func failureRefusal(fail *target.Failure) *Refusal {
 	switch fail.Kind {
 	case target.Refused:
-		return retryLater(refuse(CodeTargetRefused, "every target refused the request"))
+		return withRetryAfter(refuse(CodeTargetRefused, "every target refused the request"))
 	case target.Rejected:
 		return refuse(CodeRejected, "the target found the request wrong")
 	default:
-		return retryLater(refuse(CodeTargetFailed, "the target or the way to it failed"))
+		return withRetryAfter(refuse(CodeTargetFailed, "the target or the way to it failed"))
 	}
 }
 
-// close ends the flow. It is called once, when the answer has been handed over
-// or given up.
+// close ends the flow. It is called once, when the response has been passed to
+// the HTTP server or written, or the request has been given up.
 func (f *flow) close() {
 	if f.unwatch != nil {
 		f.unwatch()
--- a/ingress/flow_test.go
+++ b/ingress/flow_test.go
@@ -19,17 +19,18 @@
 	snap := s.options.Syncer.Current()
 	deadline := clock.Now().Add(timeout)
 	return &flow{
-		server: s, accepted: clock.Now(), deadline: deadline, ended: make(chan struct{}),
-		submit: dispatch.Request{
+		server: s, accepted: clock.Now(), deadline: deadline, callerDone: make(chan struct{}),
+		submission: dispatch.Request{
 			Pool: snap.Config.Service("s").Number, Customer: fair.Customer(snap.Customer([]byte("key")).Number),
 		},
 		request: request.New(request.Options{ID: "r", Repeatable: true, Deadline: deadline, MaxAttempts: maxAttempts}),
 	}
 }
 
-// TestCallersThatLeaveDoNotOpenTheCircuit ends attempts because their callers
-// left. However many, the target must stay usable for the next caller.
-func TestCallersThatLeaveDoNotOpenTheCircuit(t *testing.T) {
+// TestDisconnectedCallersDoNotOpenTheCircuit cancels attempts because their callers
+// disconnected. However many there are, the target must stay usable for the
+// next caller.
+func TestDisconnectedCallersDoNotOpenTheCircuit(t *testing.T) {
 	s := newServer(t, listenHTTP(t, echo))
 	for range 10 {
 		f := newTestFlow(s, 100*time.Millisecond)
@@ -37,7 +38,7 @@
 		assert.Assert(t, f.acquire() == nil)
 		f.attempt()
 		f.interrupt()
-		r := f.failed(&target.Failure{Kind: target.Broken, Err: eris.New("connection closed")})
+		r := f.handleFailure(&target.Failure{Kind: target.Broken, Err: eris.New("connection closed")})
 		assert.Equal(t, r.Code, CodeCallerGone)
 	}
 	f := newTestFlow(s, 100*time.Millisecond)
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -4,27 +4,29 @@
 // # Usage
 //
 //	s, err := ingress.Listen(ingress.Options{Address: addr, ...})
-//	defer s.Close() // ends all accepted requests first
+//	defer s.Close() // waits for the accepted requests first
 //
 // # Callers' API
 //
 // POST /v1/completions takes the usual JSON with "model", "prompt",
-// "max_tokens" and "stream" and answers JSON, or server-sent events whose end
-// mark is [DONE]. Any method on /services/NAME/PATH calls PATH of a service.
+// "max_tokens" and "stream" and returns JSON, or server-sent events that are
+// terminated by [DONE]. Any method on /services/NAME/PATH calls PATH of a
+// service.
 //
-// Authorization: Bearer KEY names the customer. X-Timeout-Ms asks for a
-// shorter deadline. X-Request-Class: urgent puts a request first among those
-// of its own customer. Every answer carries X-Request-Id.
+// Authorization: Bearer KEY identifies the customer. X-Timeout-Ms requests a
+// shorter deadline. X-Request-Class: urgent puts a request ahead of the other
+// requests of its own customer. Every response to a request that passed
+// validation carries X-Request-Id.
 //
-// A call that may not be repeated runs at most once in the whole fleet if it
+// A call that must not be repeated runs at most once in the whole fleet if it
 // carries an Idempotency-Key, whichever routers receive it and however often:
-// a second call with the key gets the answer of the first (X-Replayed: true),
-// or learns that its outcome is not known. Without a key this router sends it
-// at most once.
+// a second call with the same key gets the response of the first
+// (X-Replayed: true), or an error that says that its outcome is unknown.
+// Without a key, this router sends the call at most once.
 //
-// An answer that is an error is {"error": {...}} with a code, a message, the
-// field that is wrong, and the outcome: not_run or unknown. Retry-After tells
-// when coming back may help.
+// An error response is {"error": {...}} with a code, a message, the invalid
+// field and the outcome: not_run or unknown. Retry-After is set if a later
+// retry may succeed.
 package ingress
 
 import (
@@ -66,17 +68,17 @@
 	classUrgent     = "urgent"
 )
 
-// Limits bound what callers can take.
+// Limits bound the resources that callers can use.
 type Limits struct {
-	// BodyBytes and HeaderBytes are the largest body and header.
+	// BodyBytes and HeaderBytes are the maximum sizes of a body and a header.
 	BodyBytes   int
 	HeaderBytes int
 	Connections int
-	// Timeout is the longest time of a request.
-	Timeout time.Duration
-	// Write is the longest time that a caller may take no bytes.
-	Write time.Duration
-	// StopTimeout is the longest time that Close waits for requests.
+	// RequestTimeout is the maximum duration of a request.
+	RequestTimeout time.Duration
+	// WriteTimeout is the maximum time that a write to a caller may block.
+	WriteTimeout time.Duration
+	// StopTimeout is the maximum time that Close waits for running requests.
 	StopTimeout time.Duration
 }
 
@@ -89,10 +91,10 @@
 	Dispatcher *dispatch.Dispatcher
 	Claims     *claim.Store
 	Clients    *target.Clients
-	// Quarantine knows the requests that end their targets.
+	// Quarantine lists the requests that terminate their targets.
 	Quarantine *quarantine.List
 	Metrics    *metric.Metrics
-	// NewID returns an id that no other request of the fleet has.
+	// NewID returns an id that is unique in the fleet.
 	NewID func() string
 }
 
@@ -106,23 +108,23 @@
 	input    inputEstimate
 	group    errgroup.Group
 	stopping atomic.Bool
-	// accepted is the number of requests that are not answered yet.
+	// accepted is the number of accepted requests that have not ended.
 	accepted atomic.Int64
 }
 
-// Bounds that callers do not notice.
+// Internal limits and intervals. They are not part of the callers' API.
 const (
-	idleTimeout   = 75 * time.Second
-	readTimeout   = 30 * time.Second
-	lookPeriod    = 100 * time.Millisecond
-	retryRatio    = 0.1
-	retryBurst    = 50
-	maxAttempts   = 4
-	closeIdleTime = time.Second
-	drainPeriod   = 10 * time.Millisecond
+	idleTimeout             = 75 * time.Second
+	readTimeout             = 30 * time.Second
+	disconnectCheckInterval = 100 * time.Millisecond
+	retryRatio              = 0.1
+	retryBurst              = 50
+	maxAttempts             = 4
+	idleCloseTimeout        = time.Second
+	drainCheckInterval      = 10 * time.Millisecond
 )
 
-// Listen starts to serve. The port 0 picks a free port.
+// Listen starts a server. Port 0 selects a free port.
 func Listen(o Options) (*Server, error) {
 	l, err := net.Listen("tcp", o.Address.String())
 	if err != nil {
@@ -131,12 +133,12 @@
 	s := &Server{
 		options:  o,
 		listener: l,
-		watcher:  hangup.New(lookPeriod, o.Clock),
+		watcher:  hangup.New(disconnectCheckInterval, o.Clock),
 		retries:  request.NewBudget(retryRatio, retryBurst),
 	}
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
-		ErrorHandler:          badHTTP,
+		ErrorHandler:          writeHTTPError,
 		Concurrency:           o.Limits.Connections,
 		ReadBufferSize:        o.Limits.HeaderBytes,
 		MaxRequestBodySize:    o.Limits.BodyBytes,
@@ -145,33 +147,33 @@
 		IdleTimeout:           idleTimeout,
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
-		Logger:                silent{},
+		Logger:                discardLogger{},
 	}
 	s.group.Go(s.serve)
 	return s, nil
 }
 
-// silent drops the lines that fasthttp would log for each broken connection.
-type silent struct{}
+// discardLogger discards the lines that fasthttp would log for each broken connection.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 // Address returns the address the server listens on.
 func (s *Server) Address() netip.AddrPort { return s.listener.Addr().(*net.TCPAddr).AddrPort() }
 
-// Close makes the planned stop: no new connections, every accepted request
-// ends, then the connections are closed. The error says that requests were
-// still running after the stop timeout.
+// Close stops the server gracefully: it accepts no new connections, waits for
+// every accepted request to end and then closes the connections. It returns an
+// error if requests are still running after the stop timeout.
 func (s *Server) Close() error {
 	s.stopping.Store(true)
 	err := s.listener.Close()
 	if derr := s.drain(); err == nil {
 		err = derr
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), closeIdleTime)
+	ctx, cancel := context.WithTimeout(context.Background(), idleCloseTimeout)
 	defer cancel()
-	_ = s.http.ShutdownWithContext(ctx) // idle callers may outlast it
+	_ = s.http.ShutdownWithContext(ctx) // idle connections may outlast the timeout
 	s.watcher.Close()
 	if gerr := s.group.Wait(); err == nil {
 		err = gerr
@@ -186,14 +188,14 @@
 		if s.options.Clock.Now().After(deadline) {
 			return errStillRunning
 		}
-		s.options.Clock.Sleep(drainPeriod)
+		s.options.Clock.Sleep(drainCheckInterval)
 	}
 	return nil
 }
 
 var errStillRunning = eris.New("requests still running after the stop timeout")
 
-// serve accepts callers until the listener is closed.
+// serve accepts connections until the listener is closed.
 func (s *Server) serve() error {
 	err := s.http.Serve(s.listener)
 	if eris.Is(err, net.ErrClosed) {
@@ -202,8 +204,8 @@
 	return err
 }
 
-// badHTTP answers requests that are not HTTP or exceed a bound.
-func badHTTP(ctx *fasthttp.RequestCtx, err error) {
+// writeHTTPError responds to requests that are not HTTP or exceed a limit.
+func writeHTTPError(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	switch {
 	case eris.As(err, &small):
@@ -228,21 +230,21 @@
 	snap := s.options.Syncer.Current()
 	if snap == nil {
 		r := refuse(CodeNoConfig, "this router has no configuration yet")
-		r.RetryAfter = defaultRetry
-		s.end(ctx, r)
+		r.RetryAfter = defaultRetryDelay
+		s.writeRefusal(ctx, r)
 		return
 	}
 	key, _ := strings.CutPrefix(string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization)), "Bearer ")
 	customer := snap.Customer([]byte(key))
 	if customer == nil {
 		s.options.Metrics.Inc(metric.WrongKeys)
-		s.end(ctx, refuse(CodeWrongKey, "the API key is unknown"))
+		s.writeRefusal(ctx, refuse(CodeWrongKey, "the API key is unknown"))
 		return
 	}
 	s.options.Metrics.Inc(metric.RequestsReceived)
 	body, r := s.readBody(ctx)
 	if r != nil {
-		s.end(ctx, r)
+		s.writeRefusal(ctx, r)
 		ctx.SetConnectionClose()
 		return
 	}
@@ -250,11 +252,12 @@
 	s.route(ctx, body, snap, customer)
 }
 
-// discardFactor is how many times the largest body is read and thrown away,
-// so that a caller who sends too much can read the answer.
+// discardFactor is how many times the maximum body size is read and discarded,
+// so that a caller that sends too much can still read the response.
 const discardFactor = 16
 
-// readBody returns the whole body, or a refusal if it exceeds the limit.
+// readBody returns the complete body, or a refusal if the body exceeds the
+// limit.
 func (s *Server) readBody(ctx *fasthttp.RequestCtx) ([]byte, *Refusal) {
 	stream := ctx.RequestBodyStream()
 	if stream == nil {
@@ -274,8 +277,8 @@
 	return nil, r
 }
 
-// route serves an authenticated request. Whoever ends the request calls
-// s.accepted.Done.
+// route serves an authenticated request. The code that ends the request
+// decrements s.accepted.
 func (s *Server) route(ctx *fasthttp.RequestCtx, body []byte, snap *confsync.Snapshot, customer *config.Customer) {
 	path := string(ctx.Path())
 	switch {
@@ -285,13 +288,13 @@
 		s.call(ctx, body, snap, customer, path[len(pathServices):])
 		s.accepted.Add(-1)
 	default:
-		s.end(ctx, refuse(CodeUnknownPath, "use POST "+pathCompletions+" or "+pathServices+"NAME/PATH"))
+		s.writeRefusal(ctx, refuse(CodeUnknownPath, "use POST "+pathCompletions+" or "+pathServices+"NAME/PATH"))
 		s.accepted.Add(-1)
 	}
 }
 
-// end answers with a refusal and counts it.
-func (s *Server) end(ctx *fasthttp.RequestCtx, r *Refusal) {
+// writeRefusal responds with a refusal and counts it.
+func (s *Server) writeRefusal(ctx *fasthttp.RequestCtx, r *Refusal) {
 	s.countRefusal(r)
 	r.write(ctx)
 	if s.stopping.Load() {
@@ -310,7 +313,7 @@
 	}
 }
 
-// newFlow starts the life cycle of a request.
+// newFlow returns the flow of a new request.
 func (s *Server) newFlow(ctx *fasthttp.RequestCtx, body []byte, customer *config.Customer, pool uint32, repeatable bool) (*flow, *Refusal) {
 	now := s.options.Clock.Now()
 	deadline, r := s.deadline(ctx, now)
@@ -319,16 +322,16 @@
 	}
 	s.retries.Earn()
 	f := &flow{
-		server:   s,
-		deadline: deadline,
-		accepted: now,
-		conn:     ctx.Conn(),
-		ended:    make(chan struct{}),
-		// The header is made one for the target before it is sent.
-		asks: quarantine.Content{
+		server:     s,
+		deadline:   deadline,
+		accepted:   now,
+		conn:       ctx.Conn(),
+		callerDone: make(chan struct{}),
+		// Method and URI are copied because prepareCall rewrites the request for the target.
+		content: quarantine.Content{
 			Customer: customer.Name, Method: bytes.Clone(ctx.Method()), URI: bytes.Clone(ctx.RequestURI()), Body: body,
 		},
-		submit: dispatch.Request{Pool: pool, Customer: fair.Customer(customer.Number), Class: class(ctx), Deadline: deadline},
+		submission: dispatch.Request{Pool: pool, Customer: fair.Customer(customer.Number), Class: class(ctx), Deadline: deadline},
 		request: request.New(request.Options{
 			ID: s.options.NewID(), Repeatable: repeatable, Deadline: deadline, MaxAttempts: maxAttempts,
 		}),
@@ -343,9 +346,10 @@
 	return fair.Normal
 }
 
-// deadline returns the deadline that the caller asks for, at most the limit.
+// deadline returns the deadline that the caller requests, bounded by the
+// limit.
 func (s *Server) deadline(ctx *fasthttp.RequestCtx, now time.Time) (time.Time, *Refusal) {
-	limit := s.options.Limits.Timeout
+	limit := s.options.Limits.RequestTimeout
 	text := string(ctx.Request.Header.Peek(headerTimeout))
 	if text == "" {
 		return now.Add(limit), nil
--- a/ingress/refusal.go
+++ b/ingress/refusal.go
@@ -12,10 +12,10 @@
 	"zinccove.example/zinccove/request"
 )
 
-// Code names the cause of a refusal or failure in answers to callers.
+// Code names the cause of a refusal or failure in responses to callers.
 type Code string
 
-// The codes.
+// Codes of refusals and failures.
 const (
 	CodeWrongKey       Code = "wrong_key"
 	CodeUnknownPath    Code = "unknown_path"
@@ -58,19 +58,19 @@
 	CodeBackingOff:     fasthttp.StatusServiceUnavailable,
 }
 
-// statusCallerGone is in no answer, because nobody reads it.
+// statusCallerGone is never received, because the caller has disconnected.
 const statusCallerGone = 499
 
-// Refusal is the error that a caller reads.
+// Refusal is the error that a caller receives.
 type Refusal struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Field is the part of the request that is wrong, if one is.
+	// Field is the invalid part of the request, if any.
 	Field string `json:"field,omitempty"`
-	// Outcome tells whether the request ran.
+	// Outcome states whether the request ran.
 	Outcome   request.Outcome `json:"outcome"`
 	RequestID string          `json:"request_id,omitempty"`
-	// RetryAfter is when to come back; 0 when that would not help.
+	// RetryAfter is the delay before a retry; 0 if a retry would not help.
 	RetryAfter time.Duration `json:"-"`
 }
 
@@ -81,10 +81,10 @@
 	return &Refusal{Code: c, Message: message, Outcome: request.NotRun}
 }
 
-// defaultRetry is when to come back from causes without an estimate.
-const defaultRetry = time.Second
+// defaultRetryDelay is the delay before a retry for causes without an estimate.
+const defaultRetryDelay = time.Second
 
-// queueRefusal tells a caller why its request was not queued.
+// queueRefusal returns the refusal for a request that was not queued.
 func queueRefusal(err *dispatch.RefusedError) *Refusal {
 	r := refuse(CodeNoTarget, "no target serves this now")
 	switch err.Cause {
@@ -105,12 +105,12 @@
 func (r *Refusal) body() []byte {
 	b, err := json.Marshal(refusalBody{r})
 	if err != nil {
-		panic("ingress: all field types marshal: " + err.Error())
+		panic("ingress: encode refusal: " + err.Error())
 	}
 	return b
 }
 
-// write makes the refusal the answer.
+// write replaces the response by the refusal.
 func (r *Refusal) write(ctx *fasthttp.RequestCtx) {
 	ctx.Response.Reset()
 	ctx.SetStatusCode(statuses[r.Code])
