--- a/confsync/confsync.go
+++ b/confsync/confsync.go
@@ -1,15 +1,15 @@
-// Package confsync brings the configuration in force on this router.
+// Package confsync puts the configuration in force on this router.
 //
-// The version in force never goes back: a configuration is adopted only if its
-// version is higher, whether it comes from the platform or from a peer. With
-// neither at hand there is none, and the router refuses requests.
+// The version in force never decreases: a configuration is adopted only if its
+// version is higher, whether it comes from the platform or from a peer. A
+// router that has reached neither has no configuration and refuses requests.
 //
 // # Usage
 //
 //	s := confsync.New(confsync.Options{Store: store, FetchPeer: fetch, Adopt: dispatcher.Configure})
-//	err := s.Poll(ctx)                    // from the platform
-//	err = s.Learn(ctx, peer, version)     // a peer has a higher version
-//	snap := s.Current()                   // nil before the first
+//	err := s.Poll(ctx)                          // from the platform
+//	err = s.AdoptFromPeer(ctx, peer, version)   // a peer announced a higher version
+//	snap := s.Current()                         // nil before the first configuration
 package confsync
 
 import (
@@ -26,17 +26,17 @@
 	"zinccove.example/zinccove/platform"
 )
 
-// Snapshot is a configuration in force with its encoded form.
+// Snapshot is a configuration in force together with its encoded form.
 type Snapshot struct {
 	Config *config.Config
 	Body   []byte
 	Digest string
-	// customers finds a customer by the digest of an API key.
+	// customers maps the digest of an API key to its customer.
 	customers map[string]*config.Customer
 }
 
-// Customer returns the customer of an API key, or nil. The key is compared by
-// its digest, so the time taken tells nothing about other keys.
+// Customer returns the customer of an API key, or nil. The key is looked up by
+// its digest, so that the duration reveals nothing about other keys.
 func (s *Snapshot) Customer(key []byte) *config.Customer {
 	return s.customers[config.Digest(key)]
 }
@@ -52,9 +52,9 @@
 // Options configure a syncer. All are required.
 type Options struct {
 	Store *intent.Store
-	// FetchPeer asks another router for the configuration it has in force.
+	// FetchPeer fetches the configuration in force on another router.
 	FetchPeer func(ctx context.Context, control netip.AddrPort) (body []byte, digest string, err error)
-	// Adopt is called with each configuration that comes in force, in order.
+	// Adopt is called with each configuration that is put in force, in the order of versions.
 	Adopt func(*config.Config)
 }
 
@@ -62,7 +62,7 @@
 type Syncer struct {
 	options Options
 	current atomic.Pointer[Snapshot]
-	// adopting makes adoptions follow one another.
+	// adopting serializes adoptions.
 	adopting sync.Mutex
 }
 
@@ -72,8 +72,8 @@
 // Current returns the configuration in force, nil if there is none yet.
 func (s *Syncer) Current() *Snapshot { return s.current.Load() }
 
-// Poll adopts the platform's configuration if its version is higher. A platform that lost
-// the one in force gets it again.
+// Poll adopts the platform's configuration if its version is higher. If the platform lost the
+// one in force, Poll writes it there again.
 func (s *Syncer) Poll(ctx context.Context) error {
 	head, err := s.options.Store.Head(ctx)
 	if err != nil || head.Version == s.Current().Version() {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// restore gives the platform the configuration in force again, unless another router did.
+// restore writes the configuration in force to the platform again, unless another router did.
 func (s *Syncer) restore(ctx context.Context, cur *Snapshot) error {
 	err := s.options.Store.Restore(ctx, cur.Config)
 	var conflict *platform.ConflictError
@@ -104,9 +104,9 @@
 	return err
 }
 
-// Learn adopts the configuration of a peer that announced the given version,
+// AdoptFromPeer adopts the configuration of a peer that announced the given version,
 // unless that is not higher than the one in force.
-func (s *Syncer) Learn(ctx context.Context, control netip.AddrPort, version uint64) error {
+func (s *Syncer) AdoptFromPeer(ctx context.Context, control netip.AddrPort, version uint64) error {
 	if version <= s.Current().Version() {
 		return nil
 	}
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// adopt brings a configuration in force unless there is one as new already.
+// adopt puts a configuration in force unless the one in force is at least as new.
 func (s *Syncer) adopt(cfg *config.Config) {
 	s.adopting.Lock()
 	defer s.adopting.Unlock()
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -149,7 +149,7 @@
 	l.learning = true
 	addr, version := h.Control, h.ConfigVersion
 	l.daemon.group.Go(func() error {
-		err := l.daemon.syncer.Learn(ctx, addr, version)
+		err := l.daemon.syncer.AdoptFromPeer(ctx, addr, version)
 		if err != nil {
 			l.daemon.metrics.Inc(metric.PeerErrors)
 		}
