--- a/confsync/confsync.go
+++ b/confsync/confsync.go
@@ -86,7 +86,7 @@
 	if cur := s.Current(); cur != nil {
 		from = cur.Config
 	}
-	cfg, err := s.options.Store.Follow(ctx, from, head)
+	cfg, err := s.options.Store.Advance(ctx, from, head)
 	if err != nil {
 		return err
 	}
--- a/control/intent.go
+++ b/control/intent.go
@@ -126,7 +126,7 @@
 
 // ShowPlan implements the IntentService.
 func (h *intentHandler) ShowPlan(ctx context.Context, req *zinccovev1.ShowPlanRequest) (*zinccovev1.ShowPlanResponse, error) {
-	p, err := h.server.options.Store.Show(ctx, req.PlanId)
+	p, err := h.server.options.Store.ReadPlan(ctx, req.PlanId)
 	if err != nil {
 		return nil, failed(err)
 	}
--- a/intent/intent.go
+++ b/intent/intent.go
@@ -1,11 +1,11 @@
 // Package intent turns operators' intents into plans and confirmed plans into
 // versions of the configuration.
 //
-// Everything lives in the platform's table: the head of the configuration, one
-// row for each plan and one audit row for each version. Bodies of versions are
-// objects named by their digest. A confirmation moves the head, marks the plan
-// and writes the audit row in one transaction, so none of them exists without
-// the others.
+// All state is in the platform's table: the head of the configuration, one row
+// for each plan and one audit row for each version. Bodies of versions are
+// objects named by their digest. A confirmation updates the head, marks the
+// plan as confirmed and writes the audit row in one transaction, so that none
+// of these changes exists without the others.
 //
 // # Usage
 //
@@ -13,13 +13,13 @@
 //	plan, err := s.Plan(ctx, "anna", changes)
 //	version, err := s.Confirm(ctx, "anna", plan.ID)
 //
-// # Races and lost answers
+// # Races and lost responses
 //
-// A plan whose base is not the head any more is applied to the head if the
-// versions between changed other objects; otherwise it gets a *ConflictError
-// that names the other plan. Confirming is idempotent: whoever does not know
-// whether a confirmation took effect reads the plan's row, which Confirm does
-// by itself when the platform's answer is lost.
+// A plan whose base is no longer the head is applied to the head if the
+// versions in between changed other objects; otherwise Confirm returns a
+// *ConflictError that names the other plan. Confirm is idempotent: a caller
+// that does not know whether a confirmation took effect reads the plan's row,
+// which Confirm itself does when the platform's response is lost.
 package intent
 
 import (
@@ -39,7 +39,7 @@
 	"zinccove.example/zinccove/revision"
 )
 
-// State is where a plan stands.
+// State is the state of a plan.
 type State string
 
 // The states of a plan. Confirmed and discarded plans do not change again.
@@ -56,13 +56,13 @@
 	Operator    string          `json:"operator"`
 	BaseVersion uint64          `json:"base_version"`
 	Changes     []config.Change `json:"changes"`
-	// Differences and Consequences are lines for operators, computed against
-	// the base version.
+	// Differences and Consequences are texts for operators, one per line,
+	// computed against the base version.
 	Differences  []string  `json:"differences"`
 	Consequences []string  `json:"consequences"`
 	State        State     `json:"state"`
 	Expires      time.Time `json:"expires"`
-	// Version is the version that a confirmed plan made.
+	// Version is the version that a confirmed plan created.
 	Version uint64 `json:"version,omitempty"`
 }
 
@@ -74,14 +74,14 @@
 	Plan        string    `json:"plan"`
 	At          time.Time `json:"at"`
 	Differences []string  `json:"differences"`
-	// Objects are those that the version changed.
+	// Objects are the objects that the version changed.
 	Objects []config.Object `json:"objects"`
-	// Changes make the version from the one before it.
+	// Changes are the changes from the previous version to this one.
 	Changes []config.Change `json:"changes"`
 	Digest  string          `json:"digest"`
 }
 
-// Head names the configuration in force.
+// Head identifies the configuration in force.
 type Head struct {
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
@@ -93,7 +93,7 @@
 	ErrNoPlan = eris.New("no such plan")
 	// ErrNotProposed means that the plan was discarded or has expired.
 	ErrNotProposed = eris.New("plan is not open")
-	// ErrContended means that other confirmations kept winning.
+	// ErrContended means that each attempt conflicted with another transaction.
 	ErrContended = eris.New("too many concurrent changes")
 )
 
@@ -121,11 +121,12 @@
 
 func objectName(digest string) string { return "config-" + digest }
 
-// planLifetime is how long a plan can be confirmed.
+// planLifetime is the time after which a proposed plan expires.
 const planLifetime = 24 * time.Hour
 
-// confirmTries bounds how often a confirmation meets another one.
-const confirmTries = 16
+// maxConfirmAttempts bounds the attempts of a confirmation or discard that
+// conflict with other transactions.
+const maxConfirmAttempts = 16
 
 // Options configure a store. All are required.
 type Options struct {
@@ -143,33 +144,34 @@
 // New returns a store.
 func New(o Options) *Store { return &Store{table: o.Table, clock: o.Clock} }
 
-// headRow is the head and the revision of its row for checks.
+// headRow is the head with the revision of its row, for the checks of
+// transactions.
 type headRow struct {
 	Head
-	row revision.Revision
+	revision revision.Revision
 }
 
 func (s *Store) head(ctx context.Context) (headRow, error) {
 	row, err := s.table.Get(ctx, headKey)
 	if eris.Is(err, platform.ErrNotFound) {
-		return headRow{row: row.Revision}, nil
+		return headRow{revision: row.Revision}, nil
 	}
 	if err != nil {
 		return headRow{}, err
 	}
-	h := headRow{row: row.Revision}
+	h := headRow{revision: row.Revision}
 	err = json.Unmarshal(row.Value, &h.Head)
 	return h, errs.Wrap(err, "decode head", "")
 }
 
-// Head returns the version in force, 0 when there is none yet.
+// Head returns the head; its version is 0 if there is no configuration yet.
 func (s *Store) Head(ctx context.Context) (Head, error) {
 	h, err := s.head(ctx)
 	return h.Head, err
 }
 
-// Version returns an accepted version. A version that does not exist is
-// platform.ErrNotFound.
+// Version returns the configuration of an accepted version. If the version does
+// not exist, the error is platform.ErrNotFound.
 func (s *Store) Version(ctx context.Context, version uint64) (*config.Config, error) {
 	if version == 0 {
 		return new(config.Config), nil
@@ -181,8 +183,8 @@
 	return s.config(ctx, Head{Version: version, Digest: a.Digest})
 }
 
-// Rollback stores a plan that brings the objects of an earlier version back.
-// It makes a new version: nothing that was in force is undone before it is.
+// Rollback stores a plan that restores the objects of an earlier version. Once
+// confirmed, the plan creates a new version; until then nothing in force changes.
 func (s *Store) Rollback(ctx context.Context, operator string, version uint64) (Plan, error) {
 	old, err := s.Version(ctx, version)
 	if err != nil {
@@ -195,28 +197,29 @@
 	return s.planFrom(ctx, operator, cur, config.ChangesTo(cur, old))
 }
 
-// maxSteps bounds the versions that Follow goes through; more are fetched
-// whole.
-const maxSteps = 8
+// maxAppliedVersions bounds the versions whose changes Advance applies; if
+// there are more, the complete configuration is fetched.
+const maxAppliedVersions = 8
 
-// Follow returns the configuration that a head names, made from an earlier one
-// by the changes between, which are far smaller than the whole. It returns the
-// whole when there are too many versions between, or none to start from.
-func (s *Store) Follow(ctx context.Context, from *config.Config, h Head) (*config.Config, error) {
-	if from == nil || h.Version > from.Version+maxSteps {
+// Advance returns the configuration that a head names. It applies the changes
+// between to an earlier configuration, because they are far smaller than the
+// complete configuration. It fetches the complete configuration if there are
+// too many versions in between, or no earlier configuration.
+func (s *Store) Advance(ctx context.Context, from *config.Config, h Head) (*config.Config, error) {
+	if from == nil || h.Version > from.Version+maxAppliedVersions {
 		return s.config(ctx, h)
 	}
 	cfg := from
 	for v := from.Version + 1; v <= h.Version; v++ {
 		a, err := s.audit(ctx, v)
 		if eris.Is(err, platform.ErrNotFound) {
-			return s.config(ctx, h) // lost with a copy of the table
+			return s.config(ctx, h) // the row is missing after the table was restored from a backup
 		}
 		if err != nil {
 			return nil, err
 		}
 		if cfg, err = cfg.Apply(a.Changes); err != nil {
-			return nil, errs.Wrap(err, "follow changes", "")
+			return nil, errs.Wrap(err, "apply changes of a version", "")
 		}
 	}
 	if _, digest := cfg.Encode(); digest != h.Digest {
@@ -225,7 +228,7 @@
 	return cfg, nil
 }
 
-// audit reads the record of a version.
+// audit reads the audit row of a version.
 func (s *Store) audit(ctx context.Context, version uint64) (Audit, error) {
 	var a Audit
 	row, err := s.table.Get(ctx, auditKey(version))
@@ -254,7 +257,7 @@
 }
 
 // Plan validates changes against the configuration in force and stores a plan.
-// The error is a *config.InvalidError or one of package platform.
+// The error is a *config.InvalidError or one of the errors of package platform.
 func (s *Store) Plan(ctx context.Context, operator string, changes []config.Change) (Plan, error) {
 	cur, err := s.current(ctx)
 	if err != nil {
@@ -283,7 +286,7 @@
 		Operator:     operator,
 		BaseVersion:  cur.Version,
 		Changes:      changes,
-		Differences:  texts(config.Diff(cur, next)),
+		Differences:  differenceTexts(config.Diff(cur, next)),
 		Consequences: config.Consequences(cur, next),
 		State:        Proposed,
 		Expires:      s.clock.Now().Add(planLifetime),
@@ -291,7 +294,7 @@
 	return p, s.createPlan(ctx, p)
 }
 
-func texts(ds []config.Difference) []string {
+func differenceTexts(ds []config.Difference) []string {
 	lines := make([]string, len(ds))
 	for i, d := range ds {
 		lines[i] = d.Text
@@ -299,7 +302,7 @@
 	return lines
 }
 
-func objects(ds []config.Difference) []config.Object {
+func differenceObjects(ds []config.Difference) []config.Object {
 	os := make([]config.Object, len(ds))
 	for i, d := range ds {
 		os[i] = d.Object
@@ -307,8 +310,8 @@
 	return os
 }
 
-// createPlan stores a new plan. If the answer is lost the row tells whether it
-// was stored; the id is the writer's own.
+// createPlan stores a new plan. If the platform's response is lost, it reads
+// the row to find out whether the plan was stored; the id is unique to the writer.
 func (s *Store) createPlan(ctx context.Context, p Plan) error {
 	key := planPrefix + p.ID
 	put, err := putJSON(key, p)
@@ -345,16 +348,16 @@
 	return p, row.Revision, nil
 }
 
-// Show reads a plan.
-func (s *Store) Show(ctx context.Context, id string) (Plan, error) {
+// ReadPlan reads a plan.
+func (s *Store) ReadPlan(ctx context.Context, id string) (Plan, error) {
 	p, _, err := s.plan(ctx, id)
 	return p, err
 }
 
-// Discard ends a plan. Discarding a discarded plan is no error.
+// Discard discards a plan. Discarding a discarded plan is not an error.
 func (s *Store) Discard(ctx context.Context, id string) error {
-	for range confirmTries {
-		p, row, err := s.plan(ctx, id)
+	for range maxConfirmAttempts {
+		p, planRevision, err := s.plan(ctx, id)
 		if err != nil {
 			return err
 		}
@@ -370,7 +373,7 @@
 			return err
 		}
 		err = s.table.Commit(ctx, platform.Txn{
-			Checks: []platform.Check{{Key: put.Key, Revision: row}},
+			Checks: []platform.Check{{Key: put.Key, Revision: planRevision}},
 			Puts:   []platform.Put{put},
 		})
 		if !platform.NeedsReread(err) {
@@ -380,13 +383,13 @@
 	return ErrContended
 }
 
-// Confirm puts a plan in force and returns the version it made. Confirming a
-// confirmed plan returns that version again. The error is ErrNoPlan,
-// ErrNotProposed, ErrContended, a *ConflictError, a *config.InvalidError or
-// one of package platform.
+// Confirm puts a plan in force and returns the version that it created.
+// Confirming a confirmed plan returns that version again. The error is
+// ErrNoPlan, ErrNotProposed, ErrContended, a *ConflictError, a
+// *config.InvalidError or one of the errors of package platform.
 func (s *Store) Confirm(ctx context.Context, operator, id string) (uint64, error) {
-	for range confirmTries {
-		p, row, err := s.plan(ctx, id)
+	for range maxConfirmAttempts {
+		p, planRevision, err := s.plan(ctx, id)
 		switch {
 		case err != nil:
 			return 0, err
@@ -395,7 +398,7 @@
 		case p.State != Proposed:
 			return 0, ErrNotProposed
 		}
-		err = s.confirm(ctx, operator, p, row)
+		err = s.confirm(ctx, operator, p, planRevision)
 		if !platform.NeedsReread(err) && err != nil {
 			return 0, err
 		}
@@ -403,8 +406,9 @@
 	return 0, ErrContended
 }
 
-// confirm makes one try. The caller reads the plan to learn how it ended.
-func (s *Store) confirm(ctx context.Context, operator string, p Plan, planRow revision.Revision) error {
+// confirm makes one attempt. The caller reads the plan to find out whether it
+// succeeded.
+func (s *Store) confirm(ctx context.Context, operator string, p Plan, planRevision revision.Revision) error {
 	h, err := s.head(ctx)
 	if err != nil {
 		return err
@@ -427,26 +431,26 @@
 	ds := config.Diff(cur, next)
 	p.State, p.Version = Confirmed, next.Version
 	return s.commit(ctx, commit{
-		head:    headRow{Head: Head{Version: next.Version, Digest: digest}, row: h.row},
-		plan:    p,
-		planRow: planRow,
+		head:         headRow{Head: Head{Version: next.Version, Digest: digest}, revision: h.revision},
+		plan:         p,
+		planRevision: planRevision,
 		audit: Audit{Version: next.Version, FromVersion: cur.Version, Operator: operator, Plan: p.ID,
-			At: s.clock.Now(), Differences: texts(ds), Objects: objects(ds), Changes: p.Changes, Digest: digest},
+			At: s.clock.Now(), Differences: differenceTexts(ds), Objects: differenceObjects(ds), Changes: p.Changes, Digest: digest},
 	})
 }
 
 // commit is the transaction that puts a plan in force.
 type commit struct {
-	head    headRow
-	plan    Plan
-	planRow revision.Revision
-	audit   Audit
+	head         headRow
+	plan         Plan
+	planRevision revision.Revision
+	audit        Audit
 }
 
 func (s *Store) commit(ctx context.Context, c commit) error {
 	t := platform.Txn{Checks: []platform.Check{
-		{Key: headKey, Revision: c.head.row},
-		{Key: planPrefix + c.plan.ID, Revision: c.planRow},
+		{Key: headKey, Revision: c.head.revision},
+		{Key: planPrefix + c.plan.ID, Revision: c.planRevision},
 		{Key: auditKey(c.audit.Version)},
 	}}
 	rows := []struct {
@@ -465,14 +469,15 @@
 
 // checkOverlap returns a *ConflictError if a version after the plan's base
 // changed an object that the plan changes.
-func (s *Store) checkOverlap(ctx context.Context, p Plan, head uint64) error {
-	for v := p.BaseVersion + 1; v <= head; v++ {
+func (s *Store) checkOverlap(ctx context.Context, p Plan, headVersion uint64) error {
+	for v := p.BaseVersion + 1; v <= headVersion; v++ {
 		a, err := s.audit(ctx, v)
 		if err != nil && !eris.Is(err, platform.ErrNotFound) {
 			return err
 		}
-		// What a version changed whose row a copy of the table lacks is not known.
-		unknown := err != nil || a.Operator == restorer
+		// If the row is missing after the table was restored from a backup, what the
+		// version changed is unknown.
+		unknown := err != nil || a.Operator == restoreOperator
 		for i := range p.Changes {
 			if o := p.Changes[i].Object(); unknown || slices.Contains(a.Objects, o) {
 				return &ConflictError{Object: o, Plan: a.Plan, Operator: a.Operator, Version: v}
--- a/intent/intent_test.go
+++ b/intent/intent_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestDisjointPlansBothLand(t *testing.T) {
+func TestDisjointPlansAreBothConfirmed(t *testing.T) {
 	s := newStore(platformtest.New())
 	a, b := mustPlan(t, s, customer("a", 1)), mustPlan(t, s, customer("b", 1))
 	for _, p := range []Plan{a, b} {
@@ -87,7 +87,7 @@
 	assert.Equal(t, len(inForce(t, s).Customers), 2)
 }
 
-func TestOverlappingPlanNamesTheWinner(t *testing.T) {
+func TestOverlappingPlanGetsAConflict(t *testing.T) {
 	s := newStore(platformtest.New())
 	a, b := mustPlan(t, s, customer("x", 1)), mustPlan(t, s, customer("x", 9))
 	_, err := s.Confirm(ctx, "anna", a.ID)
@@ -124,28 +124,28 @@
 	m := platformtest.New()
 	clock := clockwork.NewFakeClock()
 	s := New(Options{Table: m.Table(), Clock: clock})
-	discarded, late := mustPlan(t, s, customer("a", 1)), mustPlan(t, s, customer("b", 1))
+	discarded, expired := mustPlan(t, s, customer("a", 1)), mustPlan(t, s, customer("b", 1))
 	assert.NilError(t, s.Discard(ctx, discarded.ID))
 	assert.NilError(t, s.Discard(ctx, discarded.ID))
 	_, err := s.Confirm(ctx, "anna", discarded.ID)
 	assert.ErrorIs(t, err, ErrNotProposed)
 	clock.Advance(planLifetime + time.Second)
-	_, err = s.Confirm(ctx, "anna", late.ID)
+	_, err = s.Confirm(ctx, "anna", expired.ID)
 	assert.ErrorIs(t, err, ErrNotProposed)
 	_, err = s.Confirm(ctx, "anna", "none")
 	assert.ErrorIs(t, err, ErrNoPlan)
 }
 
-// TestFaultsAtEveryCall makes each failure at each call that a confirmation
-// makes, and at each two, and checks that an error or success never lies about
-// what is in force, and that confirming again settles it.
+// TestFaultsAtEveryCall injects each fault at each call that a confirmation
+// makes, and at each pair of calls. A success must match the configuration in
+// force, and confirming again must succeed without a second version.
 func TestFaultsAtEveryCall(t *testing.T) {
 	faults := []platformtest.Failure{platformtest.Down, platformtest.LostRequest, platformtest.LostResponse}
 	const calls = 9
 	for first := 1; first <= calls; first++ {
 		for second := first; second <= calls; second++ {
-			for _, fa := range faults {
-				for _, fb := range faults {
+			for _, firstFault := range faults {
+				for _, secondFault := range faults {
 					m := platformtest.New()
 					s := newStore(m)
 					p := mustPlan(t, s, customer("school", 2))
@@ -153,15 +153,15 @@
 					m.Fail = func(call int, _ bool) platformtest.Failure {
 						switch call - before {
 						case first:
-							return fa
+							return firstFault
 						case second:
-							return fb
+							return secondFault
 						}
 						return platformtest.None
 					}
 					v, err := s.Confirm(ctx, "anna", p.ID)
 					m.Fail = nil
-					name := fmt.Sprintf("faults %d %d at calls %d %d", fa, fb, first, second)
+					name := fmt.Sprintf("faults %d %d at calls %d %d", firstFault, secondFault, first, second)
 					if err == nil {
 						assert.Equal(t, inForce(t, s).Version, v, name)
 					}
@@ -177,34 +177,34 @@
 	}
 }
 
-// confirmInput is a confirmation of a plan for an object; weight tells the
-// plans of one object apart.
+// confirmInput is the confirmation of a plan for an object; weight
+// distinguishes the plans of one object.
 type confirmInput struct {
 	object string
 	weight uint32
 }
 
-// confirmOutput is how it ended.
+// confirmOutput is the result of a confirmation.
 type confirmOutput int
 
 const (
-	landed confirmOutput = iota
-	conflicted
+	confirmedOutput confirmOutput = iota
+	conflictOutput
 	undecidedOutput
 )
 
-// confirmModel is one object that only the first plan changes: all plans have
-// the same base, so every later one conflicts.
+// confirmModel models one object, which only the first confirmed plan changes:
+// all plans have the same base, so every later one conflicts.
 var confirmModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{uint32(0)} },
 	Step: func(state, input, output any) []any {
 		winner, in := state.(uint32), input.(confirmInput)
 		switch output.(confirmOutput) {
-		case landed:
+		case confirmedOutput:
 			if winner == 0 || winner == in.weight {
 				return []any{in.weight}
 			}
-		case conflicted:
+		case conflictOutput:
 			if winner != 0 && winner != in.weight {
 				return []any{winner}
 			}
@@ -231,10 +231,10 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// TestRacingConfirmationsAreLinearizable confirms plans of the same and of
-// different objects at the same moment through several routers, with random
-// failures of the table. Versions must have no hole and no confirmation may be
-// in force twice or be lost.
+// TestRacingConfirmationsAreLinearizable confirms plans for the same and for
+// different objects concurrently through several routers, with random failures
+// of the table. There must be no gap between versions, and no confirmation may
+// take effect twice or be lost.
 func TestRacingConfirmationsAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fails := rapid.SliceOfN(rapid.IntRange(0, 30), 64, 64).Draw(t, "failures")
@@ -275,7 +275,7 @@
 			t.Fatalf("history is not linearizable: %+v", history)
 		}
 		m.Fail = nil
-		checkTrail(t, s)
+		checkAuditTrail(t, s)
 	})
 }
 
@@ -283,17 +283,17 @@
 	var conflict *ConflictError
 	switch {
 	case err == nil:
-		return landed
+		return confirmedOutput
 	case errors.As(err, &conflict):
-		return conflicted
+		return conflictOutput
 	default:
 		return undecidedOutput
 	}
 }
 
-// checkTrail checks that the audit trail has every version once and ends at
-// the head.
-func checkTrail(t *rapid.T, s *Store) {
+// checkAuditTrail checks that the audit trail contains every version once and
+// ends at the head.
+func checkAuditTrail(t *rapid.T, s *Store) {
 	audits, err := s.Audits(ctx, 100)
 	if err != nil {
 		t.Fatal(err)
--- a/intent/restore.go
+++ b/intent/restore.go
@@ -8,18 +8,18 @@
 	"zinccove.example/zinccove/platform"
 )
 
-// restorer is the operator named in the audit trail for versions that were written again.
-const restorer = "(restored)"
+// restoreOperator is the operator named in the audit trail for versions that were written again.
+const restoreOperator = "(restored)"
 
-// Restore writes the configuration that is in force on a router again, after the table came
-// back from a copy that lacks it: an accepted configuration never goes back, and the next
-// plan must not make its version a second time. The audit rows of the versions between are
-// lost; the one that is written says so. It does nothing while the table has a version as
-// new, or never came back from a copy. The error is one of package platform; a
-// *platform.ConflictError means that somebody else was first.
+// Restore writes the configuration that is in force on a router again, after the table was
+// restored from a backup that lacks it: the accepted version must never decrease, and the next
+// plan must not create the same version a second time. The audit rows of the versions in between
+// are lost; the audit row that Restore writes states this. It does nothing if the table has a
+// version at least as new, or was never restored from a backup. The error is one of the errors of
+// package platform; a *platform.ConflictError means that another router was first.
 func (s *Store) Restore(ctx context.Context, cfg *config.Config) error {
 	h, err := s.head(ctx)
-	if err != nil || h.Version >= cfg.Version || h.row.Era == 0 {
+	if err != nil || h.Version >= cfg.Version || h.revision.Era == 0 {
 		return err
 	}
 	body, digest := cfg.Encode()
@@ -27,10 +27,10 @@
 		return err
 	}
 	audit := Audit{
-		Version: cfg.Version, FromVersion: h.Version, Operator: restorer, At: s.clock.Now(), Digest: digest,
+		Version: cfg.Version, FromVersion: h.Version, Operator: restoreOperator, At: s.clock.Now(), Digest: digest,
 		Differences: []string{fmt.Sprintf("the table lost versions %d to %d; version %d was written again by a router", h.Version+1, cfg.Version, cfg.Version)},
 	}
-	t := platform.Txn{Checks: []platform.Check{{Key: headKey, Revision: h.row}, {Key: auditKey(cfg.Version)}}}
+	t := platform.Txn{Checks: []platform.Check{{Key: headKey, Revision: h.revision}, {Key: auditKey(cfg.Version)}}}
 	for _, r := range []struct {
 		key   string
 		value any
