--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -136,8 +136,8 @@
 func (d *Daemon) dispatchOptions(o Options) dispatch.Options {
 	s := o.Settings
 	options := dispatch.Options{
-		Clock: o.Clock, Host: s.Host, DataCentre: s.DataCentre, Catchup: catchup, Overcommit: overcommit,
-		Queue: fair.Limits{PerCustomer: s.QueueLimit}, DebtRequests: s.DebtRequests, Noticed: d.noticed,
+		Clock: o.Clock, Host: s.Host, DataCentre: s.DataCentre, CatchUpLag: catchup, Overcommit: overcommit,
+		Queue: fair.Limits{PerCustomer: s.QueueLimit}, DebtRequests: s.DebtRequests, OnBackoff: d.noticed,
 	}
 	if o.Tune != nil {
 		o.Tune(&options)
@@ -323,7 +323,7 @@
 		for i := range min(len(p.Customers), len(p.Levels)) {
 			levels.Levels = append(levels.Levels, fair.Level{Customer: fair.Customer(p.Customers[i]), Level: p.Levels[i]})
 		}
-		d.dispatcher.Raise(levels)
+		d.dispatcher.RaiseLevels(levels)
 	}
 	return nil
 }
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -192,7 +192,7 @@
 			l.contact.Members.Upsert(member.Address{Name: h.Name, DataCentre: h.DataCentre, Peer: h.Peer, Leaving: leaving[h.Name]})
 		}
 	}
-	l.daemon.dispatcher.SetLeaving(leaving)
+	l.daemon.dispatcher.SetDraining(leaving)
 }
 
 // learnConfigured takes the hosts of the configuration in force.
@@ -278,7 +278,7 @@
 	since := now.Sub(l.lastBeat)
 	l.credit = min(l.credit+budget*now.Sub(l.credited).Seconds(), budget)
 	l.credited = now
-	due := since >= l.daemon.settings.HeartbeatInterval || since >= shortestBeat && l.daemon.dispatcher.Pressed()
+	due := since >= l.daemon.settings.HeartbeatInterval || since >= shortestBeat && l.daemon.dispatcher.Saturated()
 	if !due || l.credit <= 0 {
 		return
 	}
--- a/dispatch/split.go
+++ b/dispatch/demand.go
@@ -8,25 +8,26 @@
 	"zinccove.example/zinccove/share"
 )
 
-// split gathers the demand of a pool for package share. Routers and customers
-// are ordered by name and number, so that all routers compute alike.
-type split struct {
+// demandBuilder collects the demand of a pool as the input of package share. Routers
+// are ordered by name and customers by number, so that all routers compute the
+// same result.
+type demandBuilder struct {
 	pool      *pool
 	routers   map[string]int
 	customers map[fair.Customer]*share.Customer
-	parts     map[fair.Customer]map[string]int
+	requests  map[fair.Customer]map[string]int
 }
 
-func newSplit(p *pool) *split {
-	return &split{
+func newDemandBuilder(p *pool) *demandBuilder {
+	return &demandBuilder{
 		pool:      p,
 		routers:   make(map[string]int),
 		customers: make(map[fair.Customer]*share.Customer),
-		parts:     make(map[fair.Customer]map[string]int),
+		requests:  make(map[fair.Customer]map[string]int),
 	}
 }
 
-func (s *split) add(host string, c fair.Customer, queued, running int) {
+func (s *demandBuilder) add(host string, c fair.Customer, queued, running int) {
 	if queued+running == 0 {
 		return
 	}
@@ -34,14 +35,14 @@
 	if cu == nil {
 		cu = &share.Customer{Weight: float64(s.pool.customer(c).weight), Level: s.pool.queue.Level(c)}
 		s.customers[c] = cu
-		s.parts[c] = make(map[string]int)
+		s.requests[c] = make(map[string]int)
 	}
 	cu.Waiting = cu.Waiting || queued > 0
-	s.parts[c][host] += queued + running
+	s.requests[c][host] += queued + running
 	s.routers[host] = 0
 }
 
-func (s *split) input() share.Input {
+func (s *demandBuilder) input() share.Input {
 	names := make([]string, 0, len(s.routers))
 	for name := range s.routers {
 		names = append(names, name)
@@ -50,7 +51,7 @@
 	for i, name := range names {
 		s.routers[name] = i
 	}
-	in := share.Input{Slots: s.pool.slots(), Routers: len(names), CatchUpLag: s.pool.options.Catchup}
+	in := share.Input{Slots: s.pool.slots(), Routers: len(names), CatchUpLag: s.pool.options.CatchUpLag}
 	numbers := make([]fair.Customer, 0, len(s.customers))
 	for c := range s.customers {
 		numbers = append(numbers, c)
@@ -58,7 +59,7 @@
 	slices.Sort(numbers)
 	for _, c := range numbers {
 		cu := s.customers[c]
-		for host, n := range s.parts[c] {
+		for host, n := range s.requests[c] {
 			cu.Demand = append(cu.Demand, share.RouterDemand{Router: s.routers[host], Requests: n})
 		}
 		slices.SortFunc(cu.Demand, func(a, b share.RouterDemand) int { return cmp.Compare(a.Router, b.Router) })
@@ -67,8 +68,8 @@
 	return in
 }
 
-// place returns this router's quota at each usable target.
-func (s *split) place(dataCentres map[string]string, slots []int, self int) []int {
+// quotas returns this router's quota at each usable target.
+func (s *demandBuilder) quotas(dataCentres map[string]string, slots []int, self int) []int {
 	now := s.pool.options.Clock.Now()
 	var targets []share.Target
 	for _, t := range s.pool.targets {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -2,10 +2,10 @@
 // targets.
 //
 // Each model and each service is a pool with a fair queue of its own. A
-// request gets a slot when it is first in the queue's order, the router's
-// window is not used up and a target has room. The window is this router's
-// part of the pool's slots, computed by package share from the demand of all
-// routers, plus the slots that nobody wants.
+// request is granted a slot when it is first in the order of the queue, the
+// router's window is not exhausted and a target has room. The window is this
+// router's part of the pool's slots, computed by package share from the demand
+// of all routers, plus its part of the slots for which there is no demand.
 //
 // # Usage
 //
@@ -16,17 +16,18 @@
 //	case slot := <-ticket.Granted():
 //		slot.Charge(tokens)
 //		slot.Release(dispatch.Completed)
-//	case <-gone:
+//	case <-callerClosed:
 //		ticket.Abandon()
 //	}
-//	d.Observe(observations)                // service of other routers
+//	d.Observe(observations)                // service delivered by other routers
 //	d.Balance(view)                        // demand of other routers
 //
 // # Limits
 //
-// Windows of different routers come from counters of different age. Until the
-// next exchange their sum may exceed the slots; the excess waits inside the
-// targets. Overcommit bounds it for each target and router.
+// Different routers compute their windows from counters of different age. Until
+// the next exchange of counters the sum of the windows may exceed the slots; the
+// excess requests wait inside the targets. Overcommit bounds the excess for each
+// target and router.
 package dispatch
 
 import (
@@ -48,50 +49,52 @@
 // Options configure a dispatcher.
 type Options struct {
 	Clock clockwork.Clock
-	// Host and DataCentre are this router's.
+	// Host and DataCentre are the names of this router's host and data centre.
 	Host       string
 	DataCentre string
 	Queue      fair.Limits
-	// DebtRequests is the most that a waiting customer's level may exceed the
-	// lowest one, in requests of the largest recent cost.
+	// DebtRequests bounds by how much the level of a waiting customer may exceed the
+	// lowest level, in requests of the largest recent cost.
 	DebtRequests int
-	// Catchup is the lag in cost per unit of weight that doubles a customer's
+	// CatchUpLag is the lag in cost per unit of weight that doubles a customer's
 	// part of the slots.
-	Catchup float64
-	// Overcommit is the number of requests above its slots that this router
-	// may place at a target whose other slots other routers seem to use.
+	CatchUpLag float64
+	// Overcommit is the number of requests beyond the free slots of a target that
+	// this router may send to it. Which slots are free is an estimate: it counts the
+	// requests that the other routers reported.
 	Overcommit int
-	// Window returns the number of requests that the router self, an index of
-	// the input or -1 if it wants nothing, may have at the targets of a pool, and
-	// the slots of all routers, from which its places at the targets follow; nil
-	// leaves them to what seems free. Routers is the number of those alive. The
-	// default is computedWindow. Experiments replace it.
+	// Window returns the number of requests that a router may have at the targets of
+	// a pool, and the slots of each router, from which its quota at each target is
+	// computed. If the slots are nil, there are no quotas and targets are chosen by
+	// their free slots. Self is the router's index in the input, or -1 if it has no
+	// demand. Routers is the number of live routers. The default is computedWindow;
+	// experiments replace it.
 	Window func(in share.Input, self, routers int) (window int, slots []int)
-	// Noticed is told when a target gets nothing for a while, as it said itself; it must not
-	// block. Nil tells nobody.
-	Noticed func(config.Target, notice.Notice)
-	// Isolated makes the dispatcher ignore all other routers, which is the
-	// baseline of experiments.
+	// OnBackoff is called with the target and its notice when a target starts a backoff that
+	// it requested itself or that follows from its draining; it must not block. It may be nil.
+	OnBackoff func(config.Target, notice.Notice)
+	// Isolated makes the dispatcher ignore all other routers, as the baseline of
+	// experiments.
 	Isolated bool
 }
 
-// Request is what the dispatcher needs to know of a caller's request.
+// Request is the part of a caller's request that the dispatcher needs.
 type Request struct {
 	// Pool is the number of a model or service.
 	Pool     uint32
 	Customer fair.Customer
 	Class    fair.Class
-	// Hint is the cost that the caller expects; 0 when unknown. It only
-	// reserves, it is never charged.
+	// Hint is the cost that the caller expects; 0 when unknown. It is only used
+	// as a reservation and is never charged.
 	Hint uint64
-	// Avoid is the number of a target that failed this request before; it is
-	// used only when no other has room. 0 avoids none.
+	// Avoid is the number of a target at which this request failed before; that
+	// target is chosen only when no other has room. 0 avoids none.
 	Avoid uint32
-	// Deadline is when the caller gives up; zero if it does not say.
+	// Deadline is when the caller gives up; zero if the caller set none.
 	Deadline time.Time
 }
 
-// Cause says why a request was refused.
+// Cause is the reason why a request was refused.
 type Cause string
 
 // The causes of refusals.
@@ -105,11 +108,11 @@
 // RefusedError means that a request was not queued and did not run.
 type RefusedError struct {
 	Cause Cause
-	// RetryAfter is when room is expected.
+	// RetryAfter is the time until the queue is expected to have room.
 	RetryAfter time.Duration
 }
 
-// Error returns the cause and when to come back.
+// Error returns the cause and the time after which to retry.
 func (e *RefusedError) Error() string {
 	return fmt.Sprintf("refused: %s, retry after %s", e.Cause, e.RetryAfter)
 }
@@ -120,8 +123,8 @@
 
 	mu    sync.RWMutex
 	pools map[uint32]*pool
-	// leaving are the names of targets that the platform says are leaving.
-	leaving map[string]bool
+	// draining holds the names of the targets that the platform is about to remove.
+	draining map[string]bool
 }
 
 // New returns a dispatcher without pools.
@@ -132,7 +135,7 @@
 	return &Dispatcher{options: o, pools: make(map[uint32]*pool)}
 }
 
-// Configure makes the pools, weights and targets those of a configuration.
+// Configure sets the pools, weights and targets to those of a configuration.
 // Requests that wait in a pool that no longer exists are refused.
 func (d *Dispatcher) Configure(cfg *config.Config) {
 	wanted := wantedPools(cfg)
@@ -151,22 +154,23 @@
 			d.pools[number] = p
 		}
 		p.configure(cfg, want)
-		p.setLeaving(d.leaving)
+		p.setDraining(d.draining)
 	}
 }
 
-// SetLeaving tells which targets the platform takes away. They receive no new
-// requests; a target of another name does not exist or stays.
-func (d *Dispatcher) SetLeaving(names map[string]bool) {
+// SetDraining replaces the set of targets, by name, that the platform is about to
+// remove. They receive no new requests. Names without a target are ignored, and
+// targets that are not in the set receive requests as usual.
+func (d *Dispatcher) SetDraining(names map[string]bool) {
 	d.mu.Lock()
-	d.leaving = names
+	d.draining = names
 	d.mu.Unlock()
-	for _, p := range d.all() {
-		p.setLeaving(names)
+	for _, p := range d.poolsByNumber() {
+		p.setDraining(names)
 	}
 }
 
-// poolConfig is what a configuration says of one pool.
+// poolConfig is the part of a configuration that concerns one pool.
 type poolConfig struct {
 	name    string
 	targets []config.Target
@@ -203,8 +207,8 @@
 	return d.pools[number]
 }
 
-// all returns the pools by number.
-func (d *Dispatcher) all() []*pool {
+// poolsByNumber returns all pools, ordered by number.
+func (d *Dispatcher) poolsByNumber() []*pool {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
 	return slices.SortedFunc(maps.Values(d.pools), func(a, b *pool) int { return int(a.number) - int(b.number) })
@@ -219,7 +223,7 @@
 	return p.submit(r)
 }
 
-// Observe charges service that other routers delivered.
+// Observe charges customers for service that other routers delivered.
 func (d *Dispatcher) Observe(observed []exchange.Observation) {
 	if d.options.Isolated {
 		return
@@ -231,45 +235,45 @@
 	}
 }
 
-// InFlight is the number of requests of other routers at each target.
+// InFlight is a number of requests for each target, by the target's number.
 type InFlight map[uint32]int
 
-// View is what the routers told each other.
+// View is the state that the routers reported to each other.
 type View struct {
 	// Demands are the queued and running requests by pool that the routers
-	// announced, this one included.
+	// reported, this one included.
 	Demands map[uint32][]exchange.Demand
-	// Routers is the number of routers that are alive, this one included.
+	// Routers is the number of live routers, this one included.
 	Routers int
-	// InFlight are their requests at each target.
+	// InFlight is the number of requests of the other routers at each target.
 	InFlight InFlight
-	// DataCentres are those of the routers by name.
+	// DataCentres is the data centre of each router by the router's name.
 	DataCentres map[string]string
 }
 
-// Balance computes the router's windows anew from what is known of the other
-// routers and grants what they allow.
+// Balance recomputes the router's windows from the reported state of the other
+// routers and grants the slots that the new windows allow.
 func (d *Dispatcher) Balance(v View) {
 	if d.options.Isolated {
 		v = View{}
 	}
-	for _, p := range d.all() {
+	for _, p := range d.poolsByNumber() {
 		p.balance(&v)
 	}
 }
 
 // Counters calls yield with the counters of every customer of every pool.
 func (d *Dispatcher) Counters(yield func(exchange.Key, exchange.Counters)) {
-	for _, p := range d.all() {
+	for _, p := range d.poolsByNumber() {
 		p.counters(yield)
 	}
 }
 
-// OwnInFlight returns the number of this router's requests at each target
-// that has some.
+// OwnInFlight returns the number of this router's requests at each target that
+// runs at least one of them.
 func (d *Dispatcher) OwnInFlight() InFlight {
 	own := make(InFlight)
-	for _, p := range d.all() {
+	for _, p := range d.poolsByNumber() {
 		p.mu.Lock()
 		for _, t := range p.targets {
 			if t.own > 0 {
@@ -290,7 +294,7 @@
 // Levels returns the levels of all pools.
 func (d *Dispatcher) Levels() []PoolLevels {
 	var levels []PoolLevels
-	for _, p := range d.all() {
+	for _, p := range d.poolsByNumber() {
 		p.mu.Lock()
 		levels = append(levels, PoolLevels{Pool: p.number, Levels: p.queue.Levels()})
 		p.mu.Unlock()
@@ -298,8 +302,8 @@
 	return levels
 }
 
-// Raise lifts the levels of a pool to at least the given ones.
-func (d *Dispatcher) Raise(l PoolLevels) {
+// RaiseLevels raises the levels of a pool to at least the given ones.
+func (d *Dispatcher) RaiseLevels(l PoolLevels) {
 	p := d.pool(l.Pool)
 	if p == nil {
 		return
@@ -311,32 +315,32 @@
 	}
 }
 
-// Status is the work of one pool at this router.
+// Status is the state of one pool at this router.
 type Status struct {
 	Name    string
 	Queued  int
 	Running int
 	// Slots is the number of slots at usable targets.
 	Slots int
-	// Window is the number of requests this router may have at targets.
+	// Window is the number of requests that this router may have at targets.
 	Window int
 }
 
-// Status returns the work of all pools.
+// Status returns the state of all pools.
 func (d *Dispatcher) Status() []Status {
 	var all []Status
-	for _, p := range d.all() {
+	for _, p := range d.poolsByNumber() {
 		all = append(all, p.status())
 	}
 	return all
 }
 
-// Pressed reports whether requests wait for a larger window.
-func (d *Dispatcher) Pressed() bool {
+// Saturated reports whether requests of any pool wait because its window is exhausted.
+func (d *Dispatcher) Saturated() bool {
 	return slices.ContainsFunc(d.Status(), func(s Status) bool { return s.Queued > 0 && s.Running >= s.Window })
 }
 
-// Idle reports whether no request waits or runs.
+// Idle reports whether no request is queued or running in any pool.
 func (d *Dispatcher) Idle() bool {
 	return !slices.ContainsFunc(d.Status(), func(s Status) bool { return s.Queued > 0 || s.Running > 0 })
 }
--- a/dispatch/dispatch_test.go
+++ b/dispatch/dispatch_test.go
@@ -47,7 +47,7 @@
 	return f
 }
 
-// balance lets the dispatcher know its own demand, as after a heartbeat.
+// balance gives the dispatcher its own demand and that of others, as after a heartbeat.
 func (f *fixture) balance(others ...exchange.Demand) {
 	demands := others
 	f.Counters(func(k exchange.Key, c exchange.Counters) {
@@ -89,7 +89,7 @@
 	slots[0].Release(Completed)
 	assert.Assert(t, granted(waiting[0]) != nil)
 	slots[0].Release(Completed)
-	assert.Assert(t, granted(waiting[1]) == nil, "a slot is given back once")
+	assert.Assert(t, granted(waiting[1]) == nil, "a second release of a slot has no effect")
 }
 
 func TestAbandonGivesPlaceOrSlotBack(t *testing.T) {
@@ -105,7 +105,7 @@
 	assert.Assert(t, f.Idle())
 }
 
-func TestLeavingTargetGetsNothingNew(t *testing.T) {
+func TestDrainingTargetReceivesNoNewRequests(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	leaving := f.cfg.Targets[0]
 	leaving.Leaving = true
@@ -127,9 +127,9 @@
 	}
 }
 
-func TestTargetTakenAwayByThePlatformGetsNothingNew(t *testing.T) {
+func TestTargetDrainedByPlatformReceivesNoNewRequests(t *testing.T) {
 	f := newFixture(t, 1, 1)
-	f.SetLeaving(map[string]bool{"t1": true, "r9": true})
+	f.SetDraining(map[string]bool{"t1": true, "r9": true})
 	f.balance()
 	assert.Equal(t, granted(f.submit(t, 1)).Target().Name, "t2")
 	f.Configure(f.cfg)
@@ -137,11 +137,11 @@
 	for _, status := range f.Status() {
 		assert.Equal(t, status.Slots, 1)
 	}
-	f.SetLeaving(nil)
+	f.SetDraining(nil)
 	assert.Equal(t, granted(f.submit(t, 1)).Target().Name, "t1")
 }
 
-func TestFailingTargetIsLeftAloneAndProbed(t *testing.T) {
+func TestFailingTargetOpensBreakerAndIsProbed(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	for range failuresToOpen {
 		s := granted(f.submit(t, 1))
@@ -150,17 +150,17 @@
 	}
 	s := granted(f.submit(t, 1))
 	assert.Equal(t, s.Target().Name, "t2")
-	f.clock.Advance(shortestPause)
+	f.clock.Advance(minOpenInterval)
 	f.balance()
 	probe := granted(f.submit(t, 1))
 	assert.Equal(t, probe.Target().Name, "t1")
 	probe.Release(Failed)
-	f.clock.Advance(shortestPause)
+	f.clock.Advance(minOpenInterval)
 	after := granted(f.submit(t, 1))
-	assert.Assert(t, after == nil || after.Target().Name == "t2", "the pause doubles")
+	assert.Assert(t, after == nil || after.Target().Name == "t2", "the open interval doubles")
 }
 
-func TestOneRefusalPausesATarget(t *testing.T) {
+func TestOneRefusalOpensBreaker(t *testing.T) {
 	f := newFixture(t, 1, 1)
 	granted(f.submit(t, 1)).Release(Refused)
 	assert.Equal(t, granted(f.submit(t, 1)).Target().Name, "t2")
@@ -178,7 +178,7 @@
 	_, err = f.Submit(Request{Pool: f.pool, Customer: 1})
 	assert.Assert(t, errors.As(err, &refused))
 	assert.Equal(t, refused.Cause, QueueFull)
-	assert.Assert(t, refused.RetryAfter >= shortestRetry && refused.RetryAfter <= longestRetry)
+	assert.Assert(t, refused.RetryAfter >= minRetryAfter && refused.RetryAfter <= maxRetryAfter)
 	f.submit(t, 2)
 
 	empty := newFixture(t)
@@ -187,7 +187,7 @@
 	assert.Equal(t, refused.Cause, NoTarget)
 }
 
-func TestRemovedPoolEndsItsWaiting(t *testing.T) {
+func TestRemovedPoolRefusesWaitingRequests(t *testing.T) {
 	f := newFixture(t, 1)
 	running, waiting := f.submit(t, 1), f.submit(t, 1)
 	f.Configure(new(config.Config))
@@ -211,8 +211,8 @@
 	}
 }
 
-// TestNoRequestIsLostOrGrantedTwice runs random histories and checks the
-// books after every step.
+// TestNoRequestIsLostOrGrantedTwice runs random sequences of operations and checks
+// after every step that the numbers of waiting, running and ended requests add up.
 func TestNoRequestIsLostOrGrantedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFixture(t, 2, 3)
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -17,7 +17,7 @@
 	"zinccove.example/zinccove/fair"
 )
 
-// Size of the fleet under test. Each step is a token of every running request.
+// Size of the fleet under test. In each step every running request delivers one token.
 const (
 	fleetRouters  = 6
 	fleetTargets  = 4
@@ -29,14 +29,14 @@
 	fleetCustomer = 8
 )
 
-// fakeRouter is a dispatcher and its side of the exchange.
+// fakeRouter is a dispatcher with its table of exchanged counters.
 type fakeRouter struct {
 	*Dispatcher
-	name string
-	book *exchange.Table
+	name     string
+	counters *exchange.Table
 }
 
-// fakeRequest runs at a target: it takes its input at once and a token a step.
+// fakeRequest runs at a target: its input is charged at once, then one token in each step.
 type fakeRequest struct {
 	slot     *Slot
 	customer fair.Customer
@@ -56,21 +56,21 @@
 	clock   *clockwork.FakeClock
 	cfg     *config.Config
 	routers []*fakeRouter
-	// inside are the requests at each target, in the order of their priority.
-	inside  map[uint32][]*fakeRequest
-	waiting []fakeWaiting
-	service map[fair.Customer]float64
-	// homes are the routers of each customer, in the order of the configuration.
-	homes [][]int
-	cut   bool
+	// atTarget holds the requests at each target, in order of arrival.
+	atTarget map[uint32][]*fakeRequest
+	waiting  []fakeWaiting
+	service  map[fair.Customer]float64
+	// homes holds the routers of each customer, in the order of the configuration.
+	homes       [][]int
+	partitioned bool
 
-	busy, offered, mostWaiting int
+	busy, offered, maxWaiting int
 }
 
 func newFakeFleet(t *testing.T, seed uint64) *fakeFleet {
 	t.Helper()
 	f := &fakeFleet{
-		rng: rand.New(rand.NewPCG(seed, 0)), clock: clockwork.NewFakeClock(), inside: make(map[uint32][]*fakeRequest),
+		rng: rand.New(rand.NewPCG(seed, 0)), clock: clockwork.NewFakeClock(), atTarget: make(map[uint32][]*fakeRequest),
 		service: make(map[fair.Customer]float64),
 	}
 	changes := []config.Change{config.Put(config.Model{Name: "m", ModelVersion: "v1"})}
@@ -85,15 +85,15 @@
 	f.cfg, err = new(config.Config).Apply(changes)
 	assert.NilError(t, err)
 	for i := range fleetRouters {
-		r := &fakeRouter{name: fmt.Sprintf("r%d", i), book: exchange.New(exchange.Options{Repeats: 2, Rotate: 2, MaxEntries: 50})}
-		r.Dispatcher = New(Options{Clock: f.clock, Host: r.name, DataCentre: f.centre(i), Catchup: 500, Overcommit: 2,
+		r := &fakeRouter{name: fmt.Sprintf("r%d", i), counters: exchange.New(exchange.Options{Repeats: 2, Rotate: 2, MaxEntries: 50})}
+		r.Dispatcher = New(Options{Clock: f.clock, Host: r.name, DataCentre: f.dataCentre(i), CatchUpLag: 500, Overcommit: 2,
 			DebtRequests: 4, Queue: fair.Limits{PerCustomer: 1000}})
 		r.Configure(f.cfg)
 		f.routers = append(f.routers, r)
 	}
 	for _, r := range f.routers {
 		for _, other := range f.routers {
-			r.book.ResetHost(other.name, false)
+			r.counters.ResetHost(other.name, false)
 		}
 	}
 	for i := range f.cfg.Customers {
@@ -102,13 +102,15 @@
 	return f
 }
 
-func (f *fakeFleet) centre(router int) string { return fmt.Sprintf("dc%d", router%2) }
+func (f *fakeFleet) dataCentre(router int) string { return fmt.Sprintf("dc%d", router%2) }
 
-// connected reports whether two routers hear each other.
-func (f *fakeFleet) connected(a, b int) bool { return !f.cut || f.centre(a) == f.centre(b) }
+// connected reports whether two routers receive each other's reports.
+func (f *fakeFleet) connected(a, b int) bool {
+	return !f.partitioned || f.dataCentre(a) == f.dataCentre(b)
+}
 
-// keep gives every customer work that waits at each of its routers.
-func (f *fakeFleet) keep(t *testing.T) {
+// keepBacklogged submits requests until every customer has three waiting at each of its routers.
+func (f *fakeFleet) keepBacklogged(t *testing.T) {
 	for i, homes := range f.homes {
 		c := f.customer(i)
 		for _, home := range homes {
@@ -131,7 +133,7 @@
 		}
 		w.request.slot = s
 		number := s.Target().Number
-		f.inside[number] = append(f.inside[number], &w.request)
+		f.atTarget[number] = append(f.atTarget[number], &w.request)
 		return true
 	})
 }
@@ -139,25 +141,25 @@
 // customer returns the number of the customer at an index.
 func (f *fakeFleet) customer(i int) fair.Customer { return fair.Customer(f.cfg.Customers[i].Number) }
 
-// run moves every target by one step.
-func (f *fakeFleet) run() {
+// step advances every target by one step.
+func (f *fakeFleet) step() {
 	for _, target := range f.cfg.Targets {
-		reqs := f.inside[target.Number]
+		reqs := f.atTarget[target.Number]
 		running := min(len(reqs), int(target.Slots))
 		f.busy += running
 		f.offered += int(target.Slots)
-		f.mostWaiting = max(f.mostWaiting, len(reqs)-running)
+		f.maxWaiting = max(f.maxWaiting, len(reqs)-running)
 		var kept []*fakeRequest
 		for i, req := range reqs {
 			if i >= running || f.token(req) {
 				kept = append(kept, req)
 			}
 		}
-		f.inside[target.Number] = kept
+		f.atTarget[target.Number] = kept
 	}
 }
 
-// token delivers a token of a request and reports whether it goes on.
+// token delivers a token of a request and reports whether the request is unfinished.
 func (f *fakeFleet) token(req *fakeRequest) bool {
 	cost := uint64(1)
 	if !req.started {
@@ -183,28 +185,29 @@
 	return 1
 }
 
-// exchange has every router tell the others.
-func (f *fakeFleet) exchange() {
+// exchangeReports delivers every router's report to the routers connected with it and then
+// balances all routers.
+func (f *fakeFleet) exchangeReports() {
 	inFlight := make([]InFlight, len(f.routers))
 	for i, from := range f.routers {
-		from.Counters(from.book.SetLocal)
-		report := from.book.Report()
+		from.Counters(from.counters.SetLocal)
+		report := from.counters.Report()
 		inFlight[i] = from.OwnInFlight()
 		for k, to := range f.routers {
 			if k == i {
 				continue
 			}
 			if !f.connected(i, k) {
-				to.book.ClearDemand(from.name)
+				to.counters.ClearDemand(from.name)
 				continue
 			}
-			to.Observe(to.book.ApplyReports(from.name, report))
+			to.Observe(to.counters.ApplyReports(from.name, report))
 		}
 	}
 	for i, r := range f.routers {
-		v := View{Demands: r.book.Demands(r.name), InFlight: make(InFlight), DataCentres: make(map[string]string)}
+		v := View{Demands: r.counters.Demands(r.name), InFlight: make(InFlight), DataCentres: make(map[string]string)}
 		for k, other := range f.routers {
-			v.DataCentres[other.name] = f.centre(k)
+			v.DataCentres[other.name] = f.dataCentre(k)
 			if !f.connected(i, k) {
 				continue
 			}
@@ -219,18 +222,18 @@
 	}
 }
 
-// drive runs steps and returns the largest change of the difference between
-// two customers' service per unit of weight.
+// drive runs steps and returns the largest change, over the steps, of the difference
+// between two customers' service per unit of weight.
 func (f *fakeFleet) drive(t *testing.T, steps int) float64 {
 	low, high := map[[2]int]float64{}, map[[2]int]float64{}
 	worst := 0.0
 	for step := range steps {
-		f.keep(t)
+		f.keepBacklogged(t)
 		if step%fleetPeriod == 0 {
-			f.exchange()
+			f.exchangeReports()
 		}
 		f.dispatch()
-		f.run()
+		f.step()
 		f.clock.Advance(10 * time.Millisecond)
 		for a := range f.homes {
 			for b := range f.homes {
@@ -248,45 +251,45 @@
 }
 
 // TestGapOverRoutersStaysBounded drives a fleet whose customers are spread
-// unevenly, and checks that the difference in service stays inside a bound that
-// does not grow with time, and that slots do not idle.
+// unevenly over the routers. It checks that the difference in service stays within
+// a bound that does not grow with time, and that slots are not idle.
 func TestGapOverRoutersStaysBounded(t *testing.T) {
 	for seed := range uint64(5) {
 		f := newFakeFleet(t, seed)
 		f.drive(t, fleetSteps/3)
-		f.busy, f.offered, f.mostWaiting = 0, 0, 0
+		f.busy, f.offered, f.maxWaiting = 0, 0, 0
 		short := f.drive(t, fleetSteps)
 		long := f.drive(t, 3*fleetSteps)
 		period := float64(fleetPeriod * fleetTargets * fleetSlots)
 		bound := 2*fleetLargest + period
 		t.Logf("seed %d: gap %.0f in %d steps, %.0f in %d, bound %.0f; busy %.3f; at most %d wait inside a target",
-			seed, short, fleetSteps, long, 3*fleetSteps, bound, float64(f.busy)/float64(f.offered), f.mostWaiting)
+			seed, short, fleetSteps, long, 3*fleetSteps, bound, float64(f.busy)/float64(f.offered), f.maxWaiting)
 		assert.Assert(t, short <= bound && long <= bound)
 		assert.Assert(t, float64(f.busy)/float64(f.offered) >= 0.95)
-		assert.Assert(t, f.mostWaiting <= fleetRouters)
+		assert.Assert(t, f.maxWaiting <= fleetRouters)
 	}
 }
 
-// TestCutFleetServesBothSidesAndHeals cuts the fleet in two, heals it, and
-// checks that both sides went on and that the difference is inside the bound
-// again soon.
-func TestCutFleetServesBothSidesAndHeals(t *testing.T) {
+// TestPartitionedFleetServesBothSidesAndRecovers partitions the fleet in two and ends
+// the partition. It checks that both sides continued to serve requests, and that the
+// difference in service is within the bound again 5 s after the partition.
+func TestPartitionedFleetServesBothSidesAndRecovers(t *testing.T) {
 	f := newFakeFleet(t, 1)
 	f.drive(t, 1000)
-	f.cut = true
+	f.partitioned = true
 	before := f.total()
 	f.drive(t, 1000)
 	rate := (f.total() - before) / 1000
 	assert.Assert(t, rate > 0.9*fleetTargets*fleetSlots, "%.1f tokens a step", rate)
-	f.cut = false
-	f.drive(t, 500) // 5 s of steps
+	f.partitioned = false
+	f.drive(t, 500) // 5 s
 	bound := 2*fleetLargest + float64(fleetPeriod*fleetTargets*fleetSlots)
 	gap := f.drive(t, 2000)
-	t.Logf("gap %.0f after healing, bound %.0f", gap, bound)
+	t.Logf("gap %.0f after the partition ended, bound %.0f", gap, bound)
 	assert.Assert(t, gap <= bound)
 }
 
-// total is the service of all customers in tokens.
+// total returns the service of all customers in tokens.
 func (f *fakeFleet) total() float64 {
 	sum := 0.0
 	for c, s := range f.service {
--- a/dispatch/pool.go
+++ b/dispatch/pool.go
@@ -23,14 +23,14 @@
 	queue     *fair.Queue[*Ticket]
 	targets   []*target
 	customers map[fair.Customer]*customer
-	// window is the number of requests this router may have at targets.
+	// window is the number of requests that this router may have at targets.
 	window  int
 	running int
-	// largest is the largest cost of a recent request.
-	largest float64
-	// hold is the mean time that a request keeps its slot.
-	hold time.Duration
-	// remote are the customers that other routers have requests waiting for.
+	// maxCost is the largest cost of a recent request. It decays by maxCostDecay.
+	maxCost float64
+	// meanSlotTime is the mean time for which a request occupies its slot.
+	meanSlotTime time.Duration
+	// remote holds the customers with requests that wait at any router.
 	remote map[fair.Customer]bool
 }
 
@@ -39,19 +39,19 @@
 	weight  uint32
 	served  uint64
 	running int
-	// cost is the mean cost of the customer's requests.
-	cost float64
+	// meanCost is the mean cost of the customer's requests.
+	meanCost float64
 }
 
-// smoothing is the part of a new sample in the running means.
+// smoothing is the weight of a new sample in the moving averages.
 const smoothing = 0.2
 
-// minWindow lets every router start one request without knowing of others.
+// minWindow lets every router start one request before it has reports of other routers.
 const minWindow = 1
 
-// lookAhead is the number of requests above its part that a router keeps at
-// the targets while there are no spare slots, so that a slot that becomes free
-// finds the next request inside the target.
+// lookAhead is the number of requests beyond its part of the slots that a router
+// keeps at the targets while there are no spare slots, so that a slot that
+// becomes free can take the next request from the target's own queue.
 const lookAhead = 1
 
 func newPool(number uint32, o *Options) *pool {
@@ -71,11 +71,11 @@
 	p.setTargets(want.targets)
 	p.setCustomers(cfg.Customers)
 	p.window = max(p.window, minWindow)
-	p.pump()
+	p.grantWaiting()
 }
 
-// setCustomers sets the weights and forgets customers that were removed, once
-// they have no work left here.
+// setCustomers sets the weights. It deletes the accounts of customers that the
+// configuration no longer contains once they have no requests at this router.
 func (p *pool) setCustomers(customers []config.Customer) {
 	declared := make(map[fair.Customer]bool, len(customers))
 	for i := range customers {
@@ -91,8 +91,9 @@
 	}
 }
 
-// setTargets keeps the state of targets that stay. Requests at targets that
-// go end there; their slots are released into the old entry.
+// setTargets replaces the targets and keeps the state of those that remain at the
+// same address. Requests at removed targets finish there, and their slots are
+// released into the old entry.
 func (p *pool) setTargets(targets []config.Target) {
 	known := make(map[uint32]*target)
 	for _, t := range p.targets {
@@ -110,13 +111,13 @@
 	}
 }
 
-func (p *pool) setLeaving(names map[string]bool) {
+func (p *pool) setDraining(names map[string]bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, t := range p.targets {
-		t.leaving = names[t.config.Name]
+		t.draining = names[t.config.Name]
 	}
-	p.pump()
+	p.grantWaiting()
 }
 
 func (p *pool) customer(c fair.Customer) *customer {
@@ -128,7 +129,7 @@
 	return cu
 }
 
-// close refuses all that waits, because the pool was removed.
+// close refuses all waiting requests, because the pool was removed.
 func (p *pool) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -138,7 +139,7 @@
 		if !ok {
 			return
 		}
-		g.Item.refuse(&RefusedError{Cause: NoTarget, RetryAfter: shortestRetry})
+		g.Item.refuse(&RefusedError{Cause: NoTarget, RetryAfter: minRetryAfter})
 	}
 }
 
@@ -146,30 +147,31 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || len(p.targets) == 0 {
-		return nil, &RefusedError{Cause: NoTarget, RetryAfter: shortestRetry}
+		return nil, &RefusedError{Cause: NoTarget, RetryAfter: minRetryAfter}
 	}
 	now := p.options.Clock.Now()
-	if left := p.quiet(now); r.late(left, now) {
-		return nil, &RefusedError{Cause: BackingOff, RetryAfter: left}
+	if remaining := p.backoffRemaining(now); r.expiresWithin(remaining, now) {
+		return nil, &RefusedError{Cause: BackingOff, RetryAfter: remaining}
 	}
 	t := &Ticket{pool: p, request: r, granted: make(chan *Slot, 1)}
 	if err := p.queue.Push(r.Customer, r.Class, t); err != nil {
 		return nil, &RefusedError{Cause: QueueFull, RetryAfter: p.retryAfter()}
 	}
-	p.pump()
+	p.grantWaiting()
 	return t, nil
 }
 
-// Bounds of the time after which refused callers are asked to come back.
+// Bounds of the time after which refused callers are asked to retry.
 const (
-	shortestRetry = time.Second
-	longestRetry  = time.Minute
+	minRetryAfter = time.Second
+	maxRetryAfter = time.Minute
 )
 
-// retryAfter is the time in which this router's window works off its queue.
+// retryAfter returns the expected time until this router's queue is empty at its
+// present window.
 func (p *pool) retryAfter() time.Duration {
-	wait := p.hold * time.Duration(p.queue.Waiting()) / time.Duration(max(p.window, 1))
-	return min(max(wait.Round(time.Second), shortestRetry), longestRetry)
+	wait := p.meanSlotTime * time.Duration(p.queue.Waiting()) / time.Duration(max(p.window, 1))
+	return min(max(wait.Round(time.Second), minRetryAfter), maxRetryAfter)
 }
 
 func (p *pool) abandon(t *Ticket) {
@@ -195,11 +197,12 @@
 	p.queue.Observe(c, cost)
 }
 
-// pump grants slots while the queue, the window and the targets allow it.
-func (p *pool) pump() {
+// grantWaiting grants slots to waiting requests while the window is not exhausted and
+// a target has room.
+func (p *pool) grantWaiting() {
 	now := p.options.Clock.Now()
 	for p.queue.Waiting() > 0 && p.running < p.window {
-		if p.choose(0, now) == nil {
+		if p.chooseTarget(0, now) == nil {
 			return
 		}
 		g, _ := p.queue.Next()
@@ -212,13 +215,13 @@
 	cu := p.customer(g.Customer)
 	s := &Slot{
 		pool:     p,
-		target:   p.choose(t.request.Avoid, now),
+		target:   p.chooseTarget(t.request.Avoid, now),
 		request:  t.request,
 		started:  now,
 		reserved: p.estimate(cu, t.request),
 		Level:    p.queue.Level(g.Customer),
 	}
-	s.target.take()
+	s.target.acquire()
 	p.running++
 	cu.running++
 	p.queue.Reserve(g.Customer, s.reserved)
@@ -226,23 +229,24 @@
 	t.granted <- s
 }
 
-// maxHint bounds what a caller's hint reserves: callers ask for far more
-// tokens than they take, and a large reservation keeps a customer from its
-// second slot.
+// maxHint bounds the reservation made from a caller's hint: callers request far
+// more tokens than they use, and a large reservation prevents a customer from
+// getting its second slot.
 const maxHint = 256
 
-// estimate is the cost that a request is expected to have.
+// estimate returns the expected cost of a request: the mean cost of the customer's
+// requests, or the bounded hint if none has completed yet.
 func (p *pool) estimate(cu *customer, r Request) float64 {
-	if cu.cost > 0 {
-		return cu.cost
+	if cu.meanCost > 0 {
+		return cu.meanCost
 	}
 	return float64(min(r.Hint, maxHint))
 }
 
-// choose returns the target for the next request: one at which this router
-// has not used its quota, else the usable one with the most room. It returns
-// nil when every target is full.
-func (p *pool) choose(avoid uint32, now time.Time) *target {
+// chooseTarget returns the target for the next request: the one with the most unused
+// quota of this router, else the usable one with the most room, with local targets
+// preferred. It returns nil when no usable target has room, overcommit included.
+func (p *pool) chooseTarget(avoid uint32, now time.Time) *target {
 	var best *target
 	for _, t := range p.targets {
 		if !t.usable(now) || t.room() <= -p.options.Overcommit {
@@ -281,9 +285,9 @@
 	s.cost += cost
 	p.customer(c).served += cost
 	p.queue.Charge(c, cost)
-	back := min(s.reserved, float64(cost))
-	s.reserved -= back
-	p.queue.Reserve(c, -back)
+	released := min(s.reserved, float64(cost))
+	s.reserved -= released
+	p.queue.Reserve(c, -released)
 }
 
 func (p *pool) release(s *Slot, r Result) {
@@ -297,50 +301,52 @@
 	cu := p.customer(s.request.Customer)
 	p.queue.Reserve(s.request.Customer, -s.reserved)
 	if r == Completed {
-		cu.cost = mean(cu.cost, float64(s.cost))
-		p.largest = max(p.largest*largestKept, float64(s.cost))
-		p.hold = time.Duration(mean(float64(p.hold), float64(now.Sub(s.started))))
+		cu.meanCost = movingAverage(cu.meanCost, float64(s.cost))
+		p.maxCost = max(p.maxCost*maxCostDecay, float64(s.cost))
+		p.meanSlotTime = time.Duration(movingAverage(float64(p.meanSlotTime), float64(now.Sub(s.started))))
 	}
-	s.target.give(r, now)
+	s.target.release(r, now)
 	p.running--
 	cu.running--
-	p.pump()
+	p.grantWaiting()
 }
 
-func mean(old, sample float64) float64 {
+func movingAverage(old, sample float64) float64 {
 	if old == 0 {
 		return sample
 	}
 	return old + smoothing*(sample-old)
 }
 
-// balance takes what is known of the other routers.
+// balance applies the reported state of the other routers: their requests at the
+// targets, their backlogs and their demand.
 func (p *pool) balance(v *View) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, t := range p.targets {
 		t.others = v.InFlight[t.config.Number]
 	}
-	p.setRemote(v.Demands[p.number])
-	p.queue.BoundDebt(p.debt())
+	p.setRemoteBacklogs(v.Demands[p.number])
+	p.queue.BoundDebt(p.debtBound())
 	p.setWindow(v)
-	p.pump()
+	p.grantWaiting()
 }
 
 const (
-	// largestKept is the part of the largest cost that is kept with each
-	// request that ends; it halves in about 700 requests.
-	largestKept = 0.999
-	// leastDebt is the bound until a request has ended.
-	leastDebt = 1000
+	// maxCostDecay is the factor by which each completed request reduces the
+	// largest cost; it halves the cost in about 700 requests.
+	maxCostDecay = 0.999
+	// minDebtBound is the lowest bound of the debt. It applies until a request has
+	// completed, and while the costs are small.
+	minDebtBound = 1000
 )
 
-// debt is the most that a waiting customer may be ahead.
-func (p *pool) debt() float64 {
-	return max(float64(p.options.DebtRequests)*p.largest, leastDebt)
+// debtBound returns by how much the level of a waiting customer may exceed the lowest one.
+func (p *pool) debtBound() float64 {
+	return max(float64(p.options.DebtRequests)*p.maxCost, minDebtBound)
 }
 
-func (p *pool) setRemote(demand []exchange.Demand) {
+func (p *pool) setRemoteBacklogs(demand []exchange.Demand) {
 	waiting := make(map[fair.Customer]bool)
 	for _, d := range demand {
 		if d.Queued > 0 {
@@ -359,28 +365,29 @@
 }
 
 // setWindow computes this router's part of the slots and its quota at each
-// target. All demand, its own too, is what the routers announced, so that all
-// compute from the same.
+// target. It uses the reported demand of all routers, including its own, so that
+// all routers compute from the same figures.
 func (p *pool) setWindow(v *View) {
-	b := newSplit(p)
+	b := newDemandBuilder(p)
 	for _, d := range v.Demands[p.number] {
 		b.add(d.Host, d.Customer, int(d.Queued), int(d.Running))
 	}
 	in := b.input()
-	self, wants := b.routers[p.options.Host]
-	if !wants {
+	self, hasDemand := b.routers[p.options.Host]
+	if !hasDemand {
 		self = -1
 	}
 	window, slots := p.options.Window(in, self, max(v.Routers, 1))
 	p.window = max(window, minWindow)
 	p.setQuotas(nil)
-	if wants && slots != nil {
-		p.setQuotas(b.place(v.DataCentres, slots, self))
+	if hasDemand && slots != nil {
+		p.setQuotas(b.quotas(v.DataCentres, slots, self))
 	}
 }
 
-// computedWindow is the router's part of the slots. Of spare slots it may use
-// an equal part at once; more once the others have heard of its demand.
+// computedWindow returns the router's part of the slots as its window. The router may
+// use an equal part of the spare slots immediately, and more of them once the
+// other routers have received its demand.
 func computedWindow(in share.Input, self, routers int) (window int, slots []int) {
 	slots, spare := share.Allocate(in)
 	window = (spare + routers - 1) / routers
@@ -394,7 +401,7 @@
 	return window, slots
 }
 
-// setQuotas sets the quota of each usable target, in order; nil is none.
+// setQuotas sets the quota of each usable target, in order; nil clears all quotas.
 func (p *pool) setQuotas(quotas []int) {
 	now := p.options.Clock.Now()
 	i := 0
@@ -407,7 +414,7 @@
 	}
 }
 
-// slots returns the slots of usable targets.
+// slots returns the number of slots at usable targets.
 func (p *pool) slots() int {
 	now := p.options.Clock.Now()
 	n := 0
--- a/dispatch/target.go
+++ b/dispatch/target.go
@@ -7,42 +7,45 @@
 	"zinccove.example/zinccove/notice"
 )
 
-// Circuit breaker of a target: after this many failures in a row, or one
-// refusal, it is left alone; the pause doubles up to the longest. After a
-// pause a single request probes it.
+// Circuit breaker of a target. It opens after failuresToOpen consecutive failures or
+// after one refusal, and the target receives no requests while it is open. The open
+// interval doubles with each opening from minOpenInterval to maxOpenInterval. After
+// the interval a single request probes the target.
 const (
-	failuresToOpen = 3
-	shortestPause  = 500 * time.Millisecond
-	longestPause   = 15 * time.Second
+	failuresToOpen  = 3
+	minOpenInterval = 500 * time.Millisecond
+	maxOpenInterval = 15 * time.Second
 )
 
 // target is this router's view of a target.
 type target struct {
 	config config.Target
 	local  bool
-	// own and others are the requests of this and of all other routers there.
+	// own and others are the numbers of requests of this router and of all other
+	// routers at the target.
 	own    int
 	others int
-	// quota is the number of its slots that are this router's part.
+	// quota is the number of the target's slots that are this router's part.
 	quota int
 
-	// quietUntil is until when the target gets nothing, as it said itself.
-	quietUntil time.Time
-	// leaving is set while the platform takes the target away.
-	leaving bool
+	// backoffUntil is the end of the backoff that the target requested or that
+	// follows from its draining. It receives no requests before.
+	backoffUntil time.Time
+	// draining is set while the platform is about to remove the target.
+	draining bool
 
-	failures  int
-	pause     time.Duration
-	openUntil time.Time
-	probing   bool
+	failures     int
+	openInterval time.Duration
+	openUntil    time.Time
+	probing      bool
 }
 
 // usable reports whether requests may be sent to the target now.
 func (t *target) usable(now time.Time) bool {
 	switch {
-	case t.leaving || now.Before(t.quietUntil):
+	case t.draining || now.Before(t.backoffUntil):
 		return false
-	case t.pause == 0:
+	case t.openInterval == 0:
 		return true
 	case now.Before(t.openUntil):
 		return false
@@ -51,53 +54,53 @@
 	}
 }
 
-// leavingPause is how long a target gets nothing that said that it leaves, until one request
-// shows whether another run serves at its address. Operators and the platform take those away
-// that have left.
-const leavingPause = 30 * time.Second
+// drainingBackoff is how long a target that announced its draining receives no requests. The
+// first request after it shows whether another incarnation serves at the address. Operators or
+// the platform remove the targets that have stopped.
+const drainingBackoff = 30 * time.Second
 
-// notice takes what the target said of itself, and reports whether it gets nothing from now
-// on. It is no failure of the target's.
-func (t *target) notice(n notice.Notice, now time.Time) (quiet bool) {
-	pause := n.Backoff
+// applyNotice applies a notice of the target, and reports whether it started a backoff. A
+// notice does not count as a failure of the target.
+func (t *target) applyNotice(n notice.Notice, now time.Time) (started bool) {
+	backoff := n.Backoff
 	if n.Draining {
-		pause = max(pause, leavingPause)
+		backoff = max(backoff, drainingBackoff)
 	}
-	until := now.Add(pause)
-	if !until.After(t.quietUntil) || pause <= 0 {
+	until := now.Add(backoff)
+	if !until.After(t.backoffUntil) || backoff <= 0 {
 		return false
 	}
-	quiet = !now.Before(t.quietUntil)
-	t.quietUntil = until
-	return quiet
+	started = !now.Before(t.backoffUntil)
+	t.backoffUntil = until
+	return started
 }
 
-// room returns the free slots as far as this router knows; it is negative
+// room returns the number of free slots as far as this router knows; it is negative
 // when requests wait inside the target.
 func (t *target) room() int { return int(t.config.Slots) - t.own - t.others }
 
-func (t *target) take() {
+func (t *target) acquire() {
 	t.own++
-	t.probing = t.pause > 0
+	t.probing = t.openInterval > 0
 }
 
-func (t *target) give(r Result, now time.Time) {
+func (t *target) release(r Result, now time.Time) {
 	t.own--
 	t.probing = false
 	switch r {
 	case Completed:
-		t.failures, t.pause = 0, 0
+		t.failures, t.openInterval = 0, 0
 	case Refused:
-		t.open(now)
+		t.openBreaker(now)
 	case Failed:
 		t.failures++
-		if t.failures >= failuresToOpen || t.pause > 0 {
-			t.open(now)
+		if t.failures >= failuresToOpen || t.openInterval > 0 {
+			t.openBreaker(now)
 		}
 	}
 }
 
-func (t *target) open(now time.Time) {
-	t.pause = min(max(2*t.pause, shortestPause), longestPause)
-	t.openUntil = now.Add(t.pause)
+func (t *target) openBreaker(now time.Time) {
+	t.openInterval = min(max(2*t.openInterval, minOpenInterval), maxOpenInterval)
+	t.openUntil = now.Add(t.openInterval)
 }
--- a/ingress/flow.go
+++ b/ingress/flow.go
@@ -153,7 +153,7 @@
 		Priority:     int64(f.slot.Level),
 		ModelVersion: f.slot.Target().ModelVersion,
 		Deadline:     bootclock.Steady(f.server.options.Clock, f.deadline),
-		Notice:       f.slot.Notice,
+		Notice:       f.slot.HandleNotice,
 	}
 }
 
--- a/standin/capacity/parts.go
+++ b/standin/capacity/parts.go
@@ -79,7 +79,7 @@
 
 func newDispatcher(cfg *config.Config) *dispatch.Dispatcher {
 	d := dispatch.New(dispatch.Options{Clock: clockwork.NewRealClock(), Host: "r0", DataCentre: "dc0",
-		Queue: fair.Limits{PerCustomer: 1000}, DebtRequests: 4, Catchup: 2000, Overcommit: 2})
+		Queue: fair.Limits{PerCustomer: 1000}, DebtRequests: 4, CatchUpLag: 2000, Overcommit: 2})
 	d.Configure(cfg)
 	return d
 }
