--- a/fair/fair.go
+++ b/fair/fair.go
@@ -1,75 +1,75 @@
-// Package fair decides whose request is served next in one pool, which is all
-// the targets of one model or one service.
+// Package fair decides which customer's request is served next in one pool. A pool
+// is the set of targets of one model or one service.
 //
 // Each customer has a level: the service it received across the whole fleet
 // divided by its weight. Next returns the first request of the customer with
 // the lowest level. Service is charged as it is delivered, so a request whose
-// cost is only known at its end still moves its customer while it runs. Until
-// then an estimate is reserved, which stops one customer from taking all free
-// slots before the first charge arrives.
+// total cost is known only at its end raises the level of its customer while it
+// runs. Until its cost is charged an estimate is reserved, which prevents one
+// customer from taking all free slots before the first charge.
 //
-// The package has no I/O, clock or randomness; the caller serializes access.
+// The package does no I/O and uses no clock or randomness; the caller serializes access.
 //
 // # Usage
 //
 //	q := fair.New[*Request](fair.Limits{PerCustomer: 256})
 //	q.SetWeight(customer, 3)
-//	err := q.Push(customer, fair.Normal, req) // *FullError when over the bound
+//	err := q.Push(customer, fair.Normal, req) // *FullError at the limit
 //	grant, ok := q.Next()                     // lowest level first
 //	q.Charge(customer, tokens)                // as tokens stream
-//	q.Observe(customer, remoteTokens)         // service other routers gave
+//	q.Observe(customer, remoteTokens)         // service delivered by other routers
 //
 // # Rules
 //
-// A customer that returns from idle starts level with the least served
-// backlogged customer, so idle time earns no credit. A customer counts as
-// backlogged while any router has a request of it waiting.
+// A customer that becomes backlogged after an idle time starts at least at the lowest
+// level of the backlogged customers, so idle time earns no credit. A customer counts
+// as backlogged while one of its requests waits at any router.
 //
-// BoundDebt keeps the levels of backlogged customers within a bound of the
-// lowest one. Counters that jump when a partition heals would otherwise starve
-// whoever was served well on the other side.
+// BoundDebt keeps the levels of backlogged customers within a limit above the lowest
+// one. Otherwise the counters, which jump when a partition ends, would starve the
+// customers that were served well on the other side.
 //
 // # Limits
 //
-// Levels of different pools are not compared: a customer backlogged at two
-// models has one level at each.
+// Levels of different pools are not compared: a customer that is backlogged in the
+// pools of two models has a separate level in each.
 package fair
 
 import "fmt"
 
-// Customer is the configuration's number of a customer.
+// Customer is the number that the configuration gives to a customer.
 type Customer uint32
 
-// Class orders the requests of one customer. It never moves a customer ahead
-// of another.
+// Class is the priority of a request among those of its customer. It does not affect
+// the order of customers.
 type Class uint8
 
-// Classes, the first served first.
+// The classes in the order in which they are served.
 const (
 	Urgent Class = iota
 	Normal
-	classes
+	numClasses
 )
 
 // Limits bound a queue.
 type Limits struct {
-	// PerCustomer is the number of requests of one customer that may wait.
+	// PerCustomer is the maximum number of waiting requests of one customer.
 	PerCustomer int
 }
 
-// FullError reports that a customer's queue is at its bound.
+// FullError reports that the number of a customer's waiting requests is at its limit.
 type FullError struct {
 	Customer Customer
-	// Waiting is the number of requests that wait.
+	// Waiting is the number of the customer's waiting requests.
 	Waiting int
 }
 
-// Error returns the customer's number and its bound.
+// Error returns the customer's number and the number of its waiting requests.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("customer %d has %d requests waiting, the bound", e.Customer, e.Waiting)
+	return fmt.Sprintf("customer %d has %d waiting requests, which is the limit", e.Customer, e.Waiting)
 }
 
-// Grant is a request that is to be served now.
+// Grant is a request that was removed from the queue to be served now.
 type Grant[T any] struct {
 	Customer Customer
 	Item     T
@@ -80,12 +80,12 @@
 type Queue[T any] struct {
 	limits   Limits
 	accounts map[Customer]*account[T]
-	// local holds accounts with requests waiting here, fleet those with
-	// requests waiting anywhere. Both are ordered by level.
+	// local holds the accounts with requests that wait at this router, fleet those
+	// with requests that wait at any router. Both are ordered by level.
 	local levelHeap[T]
 	fleet levelHeap[T]
-	// floor is the lowest level of a backlogged customer when there last was
-	// one.
+	// floor is the highest value that the lowest level of the backlogged customers has
+	// had. A customer that becomes backlogged when no other is starts at least there.
 	floor   float64
 	waiting int
 }
@@ -94,15 +94,15 @@
 type account[T any] struct {
 	customer Customer
 	weight   float64
-	// level is the fleet's service divided by the weight.
+	// level is the service delivered by the whole fleet, divided by the weight.
 	level float64
-	// reserved is the estimated cost of requests running here that has not
-	// been charged yet.
+	// reserved is the estimated cost, not charged yet, of the requests that this
+	// router runs.
 	reserved float64
-	queues   [classes]fifo[T]
-	// remote is set while other routers have requests of the customer waiting.
+	queues   [numClasses]fifo[T]
+	// remote is set while requests of the customer wait at other routers.
 	remote bool
-	pos    [heaps]int
+	pos    [numHeaps]int
 }
 
 // New returns an empty queue.
@@ -118,20 +118,20 @@
 func (q *Queue[T]) account(c Customer) *account[T] {
 	a := q.accounts[c]
 	if a == nil {
-		a = &account[T]{customer: c, weight: 1, level: q.floor, pos: [heaps]int{absent, absent}}
+		a = &account[T]{customer: c, weight: 1, level: q.floor, pos: [numHeaps]int{notInHeap, notInHeap}}
 		q.accounts[c] = a
 	}
 	return a
 }
 
-// SetWeight sets a customer's part, at least 1. Service received earlier keeps
-// the level it made.
+// SetWeight sets a customer's weight, at least 1. The level that follows from earlier
+// service is unchanged.
 func (q *Queue[T]) SetWeight(c Customer, weight uint32) {
 	q.account(c).weight = float64(max(weight, 1))
 }
 
-// Push adds a waiting request. It returns a *FullError when the customer's
-// queue is at its bound.
+// Push adds a waiting request. It returns a *FullError if the number of the
+// customer's waiting requests is at its limit.
 func (q *Queue[T]) Push(c Customer, class Class, item T) error {
 	a := q.account(c)
 	if n := a.waiting(); n >= q.limits.PerCustomer {
@@ -143,8 +143,8 @@
 	return nil
 }
 
-// Next removes and returns the first request of the least served customer. It
-// reports false when nothing waits.
+// Next removes and returns the first request of the customer with the lowest level,
+// reservations included. It reports false if no request waits.
 func (q *Queue[T]) Next() (Grant[T], bool) {
 	a := q.local.min()
 	if a == nil {
@@ -156,8 +156,8 @@
 	return Grant[T]{Customer: a.customer, Item: item}, true
 }
 
-// Remove takes out the waiting requests of a customer for which drop returns
-// true and returns their number.
+// Remove removes the waiting requests of a customer for which drop returns true and
+// returns their number.
 func (q *Queue[T]) Remove(c Customer, drop func(T) bool) int {
 	a := q.account(c)
 	n := 0
@@ -169,8 +169,8 @@
 	return n
 }
 
-// Reserve adds to the estimated cost of a customer's running requests; a
-// negative cost takes it back.
+// Reserve adds a cost to the reservation for a customer's running requests; a
+// negative cost reduces the reservation.
 func (q *Queue[T]) Reserve(c Customer, cost float64) {
 	a := q.account(c)
 	a.reserved = max(a.reserved+cost, 0)
@@ -187,16 +187,15 @@
 // Observe adds service that other routers delivered, in the pool's unit.
 func (q *Queue[T]) Observe(c Customer, cost uint64) { q.Charge(c, cost) }
 
-// SetRemoteBacklog tells whether other routers have requests of a customer
-// waiting.
+// SetRemoteBacklog sets whether requests of a customer wait at other routers.
 func (q *Queue[T]) SetRemoteBacklog(c Customer, backlogged bool) {
 	a := q.account(c)
 	a.remote = backlogged
 	q.update(a)
 }
 
-// Forget removes a customer that has nothing waiting or running here and
-// reports whether it did.
+// Forget removes a customer that has no waiting requests at any router and no reservation
+// at this one. It reports whether the customer is not in the queue any more.
 func (q *Queue[T]) Forget(c Customer) bool {
 	a := q.accounts[c]
 	if a == nil {
@@ -227,8 +226,8 @@
 	Level    float64
 }
 
-// Raise lifts a customer to at least the given level. A router that has just
-// started takes the levels of its peers with it.
+// Raise raises a customer to at least the given level. A router that has just started
+// uses it to adopt the levels of its peers.
 func (q *Queue[T]) Raise(l Level) {
 	a := q.account(l.Customer)
 	a.level = max(a.level, l.Level)
@@ -241,51 +240,52 @@
 // WaitingOf returns the number of waiting requests of one customer.
 func (q *Queue[T]) WaitingOf(c Customer) int { return q.account(c).waiting() }
 
-// LeastLevel returns the lowest level among customers with requests waiting
-// here, reservations included, and whether there is one.
-func (q *Queue[T]) LeastLevel() (float64, bool) {
-	a := q.local.min()
-	if a == nil {
+// MinLevel returns the lowest level, reservations included, among the customers with
+// requests that wait at this router, and whether there is such a customer.
+func (q *Queue[T]) MinLevel() (float64, bool) {
+	lowest := q.local.min()
+	if lowest == nil {
 		return 0, false
 	}
-	return a.key(localHeap), true
+	return lowest.key(localHeap), true
 }
 
-// BoundDebt lowers every backlogged customer to at most limit, in cost per unit
-// of weight, above the lowest one. Call it after merging the counters of other
-// routers.
+// BoundDebt lowers the level of every backlogged customer to at most limit, in cost
+// per unit of weight, above the lowest one. Call it after merging the counters of
+// other routers.
 func (q *Queue[T]) BoundDebt(limit float64) {
-	least := q.fleet.min()
-	if least == nil {
+	lowest := q.fleet.min()
+	if lowest == nil {
 		return
 	}
-	bound := least.level + limit
+	bound := lowest.level + limit
 	for _, a := range q.accounts {
-		if a.pos[fleetHeap] != absent && a.level > bound {
+		if a.pos[fleetHeap] != notInHeap && a.level > bound {
 			a.level = bound
 			q.update(a)
 		}
 	}
 }
 
-// update restores the order after a's level, reservation or backlog changed.
+// update restores the order of the heaps after a's level, reservation or backlog changed.
 func (q *Queue[T]) update(a *account[T]) {
 	queued := a.waiting() > 0
 	backlogged := queued || a.remote
-	if backlogged && a.pos[fleetHeap] == absent {
-		q.lift(a)
+	if backlogged && a.pos[fleetHeap] == notInHeap {
+		q.removeIdleCredit(a)
 	}
 	q.fleet.set(a, backlogged)
 	q.local.set(a, queued)
-	if least := q.fleet.min(); least != nil {
-		q.floor = max(q.floor, least.level)
+	if lowest := q.fleet.min(); lowest != nil {
+		q.floor = max(q.floor, lowest.level)
 	}
 }
 
-// lift takes the credit of idle time from a customer that becomes backlogged.
-func (q *Queue[T]) lift(a *account[T]) {
-	if least := q.fleet.min(); least != nil {
-		a.level = max(a.level, least.level)
+// removeIdleCredit raises the level of a customer that becomes backlogged to the lowest level of
+// the backlogged customers, or to the floor if there are none, so that idle time earns no credit.
+func (q *Queue[T]) removeIdleCredit(a *account[T]) {
+	if lowest := q.fleet.min(); lowest != nil {
+		a.level = max(a.level, lowest.level)
 		return
 	}
 	a.level = max(a.level, q.floor)
--- a/fair/fair_test.go
+++ b/fair/fair_test.go
@@ -16,7 +16,7 @@
 	assert.NilError(t, q.Push(c, class, item))
 }
 
-func TestNextServesTheLeastServed(t *testing.T) {
+func TestNextServesTheCustomerWithTheLowestLevel(t *testing.T) {
 	q := New[int](testLimits)
 	q.SetWeight(1, 1)
 	q.SetWeight(2, 3)
@@ -79,7 +79,7 @@
 	push(t, q, 2, Normal, 4)
 }
 
-func TestRemoveTakesOutOnlyTheDropped(t *testing.T) {
+func TestRemoveDropsOnlyMatchingRequests(t *testing.T) {
 	q := New[int](testLimits)
 	for i := range 4 {
 		push(t, q, 1, Normal, i)
@@ -112,9 +112,9 @@
 	assert.Equal(t, q.Level(2), 100.0)
 }
 
-// TestGapStaysBounded serves random arrivals one request at a time and checks
-// the bound between customers that stay backlogged, and that a request is
-// served whenever one waits.
+// TestGapStaysBounded serves requests of random classes and costs one at a time. It
+// checks that the difference in service between customers that stay backlogged is
+// bounded, and that a request is served whenever one waits.
 func TestGapStaysBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const customers, maxCost = 5, 50
--- a/fair/fifo.go
+++ b/fair/fifo.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// fifo is a first-in first-out queue that reuses its array.
+// fifo is a first-in, first-out queue that reuses its backing array.
 type fifo[T any] struct {
 	items []T
 	head  int
@@ -34,8 +34,7 @@
 	f.items, f.head = f.items[:n], 0
 }
 
-// remove takes out the items for which drop returns true and returns their
-// number.
+// remove removes the items for which drop returns true and returns their number.
 func (f *fifo[T]) remove(drop func(T) bool) int {
 	f.compact()
 	before := len(f.items)
--- a/fair/heap.go
+++ b/fair/heap.go
@@ -2,17 +2,17 @@
 
 import "container/heap"
 
-// Heaps an account can be in.
+// The heaps of which an account can be a member.
 const (
 	localHeap = iota
 	fleetHeap
-	heaps
+	numHeaps
 )
 
-const absent = -1
+const notInHeap = -1
 
-// key is the value by which a heap orders an account. Reservations are known
-// to this router alone, so only the local order counts them.
+// key returns the value by which a heap orders an account. Reservations are known
+// only to this router, so only the local heap includes them.
 func (a *account[T]) key(id int) float64 {
 	if id == localHeap {
 		return a.level + a.reserved/a.weight
@@ -20,8 +20,9 @@
 	return a.level
 }
 
-// levelHeap orders accounts by key, ties by customer so that every run of the
-// same history gives the same order. Only set and min are for its users.
+// levelHeap orders accounts by key and equal keys by customer, so that the same
+// sequence of operations always gives the same order. Its users call only set and
+// min; the exported methods are for package heap.
 type levelHeap[T any] struct {
 	id    int
 	items []*account[T]
@@ -34,16 +35,16 @@
 	return h.items[0]
 }
 
-// set makes a a member or not and restores its place.
+// set adds account a to the heap or removes it, and restores the order.
 func (h *levelHeap[T]) set(a *account[T], member bool) {
-	at := a.pos[h.id]
+	i := a.pos[h.id]
 	switch {
-	case member && at == absent:
+	case member && i == notInHeap:
 		heap.Push(h, a)
 	case member:
-		heap.Fix(h, at)
-	case at != absent:
-		heap.Remove(h, at)
+		heap.Fix(h, i)
+	case i != notInHeap:
+		heap.Remove(h, i)
 	}
 }
 
@@ -77,6 +78,6 @@
 	a := h.items[last]
 	h.items[last] = nil
 	h.items = h.items[:last]
-	a.pos[h.id] = absent
+	a.pos[h.id] = notInHeap
 	return a
 }
