--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -160,7 +160,7 @@
 func newRetries(s *settings.Settings) *request.Budget {
 	b := request.NewBudget(s.RetryRatio*retryPart, burstOf(s.RetrySlack, usualRouters-1))
 	if !s.FirstStart {
-		b.Spend()
+		b.Exhaust()
 	}
 	return b
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -359,10 +359,10 @@
 		for _, first := range []bool{true, false} {
 			b := newRetries(&settings.Settings{RetryRatio: ratio, RetrySlack: slack, FirstStart: first})
 			for range requests {
-				for b.Take() {
+				for b.TryWithdraw() {
 					made++
 				}
-				b.Earn()
+				b.Deposit()
 			}
 		}
 	}
--- a/ingress/flow.go
+++ b/ingress/flow.go
@@ -148,12 +148,12 @@
 		f.server.options.Metrics.Inc(metric.Retries)
 	}
 	return target.Attempt{
-		Request:      f.request.ID(),
+		RequestID:    f.request.ID(),
 		ID:           f.request.Dispatch(),
 		Priority:     int64(f.slot.Level),
 		ModelVersion: f.slot.Target().ModelVersion,
 		Deadline:     bootclock.Steady(f.server.options.Clock, f.deadline),
-		Notice:       f.slot.HandleNotice,
+		OnNotice:     f.slot.HandleNotice,
 	}
 }
 
@@ -180,7 +180,7 @@
 // failed records a failed attempt. It returns nil if the request is to be
 // queued again, else what the caller is told.
 func (f *flow) failed(fail *target.Failure) *Refusal {
-	if fail.Kind == target.Crossed {
+	if fail.Kind == target.Mismatched {
 		f.server.options.Metrics.Inc(metric.AttemptsCrossed)
 	}
 	f.submit.Avoid = f.slot.Target().Number
@@ -191,11 +191,11 @@
 		f.request.GiveUp(true)
 		return f.refused(refuse(CodeCallerGone, "the caller went away"))
 	}
-	if fail.Dropped() {
+	if fail.ConnectionLost() {
 		f.server.options.Quarantine.RecordLoss(&f.asks, quarantine.Loss{Target: runOf(f.slot.Target(), now), Partial: f.partial})
 	}
 	f.release(results[fail.Kind])
-	if f.request.Fail(fail.Kind, now, f.server.retries.Take) == request.Retry {
+	if f.request.Fail(fail.Kind, now, f.server.retries.TryWithdraw) == request.Retry {
 		f.backOff()
 		return nil
 	}
@@ -236,12 +236,12 @@
 
 // results tells the dispatcher how an attempt failed.
 var results = map[target.Kind]dispatch.Result{
-	target.NotSent:  dispatch.Failed,
-	target.Refused:  dispatch.Refused,
-	target.Broken:   dispatch.Failed,
-	target.Crossed:  dispatch.Failed,
-	target.Rejected: dispatch.Cancelled,
-	target.Replaced: dispatch.Refused,
+	target.NotSent:    dispatch.Failed,
+	target.Refused:    dispatch.Refused,
+	target.Broken:     dispatch.Failed,
+	target.Mismatched: dispatch.Failed,
+	target.Rejected:   dispatch.Cancelled,
+	target.Replaced:   dispatch.Refused,
 }
 
 func failureRefusal(fail *target.Failure) *Refusal {
--- a/ingress/ingress.go
+++ b/ingress/ingress.go
@@ -317,7 +317,7 @@
 	if r != nil {
 		return nil, r
 	}
-	s.retries.Earn()
+	s.retries.Deposit()
 	f := &flow{
 		server:   s,
 		deadline: deadline,
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -184,5 +184,5 @@
 		ID: f.call.ID, Repeatable: f.route.Retryable(), Deadline: f.deadline, MaxAttempts: f.route.MaxAttempts,
 		FreeUnsent: freeUnsent,
 	})
-	f.server.options.Retries.Earn()
+	f.server.options.Retries.Deposit()
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -88,12 +88,12 @@
 
 // results tells the placer how an attempt failed.
 var results = map[target.Kind]place.Result{
-	target.NotSent:  place.Unreachable,
-	target.Refused:  place.Refused,
-	target.Replaced: place.Replaced,
-	target.Broken:   place.Failed,
-	target.Crossed:  place.Failed,
-	target.Rejected: place.Cancelled,
+	target.NotSent:    place.Unreachable,
+	target.Refused:    place.Refused,
+	target.Replaced:   place.Replaced,
+	target.Broken:     place.Failed,
+	target.Mismatched: place.Failed,
+	target.Rejected:   place.Cancelled,
 }
 
 // fail describes a failure of the current attempt. Status is 0 if no answer told
@@ -273,7 +273,7 @@
 		}
 		stray++
 		if err := newBody(c.Reader, &ans.header, false).skip(); err != nil {
-			return f.fail(target.Crossed, 0, err, "read over the answer of another request")
+			return f.fail(target.Mismatched, 0, err, "read over the answer of another request")
 		}
 	}
 }
@@ -285,7 +285,7 @@
 			return fail
 		}
 	}
-	return f.fail(target.Crossed, ans.header.StatusCode(), errCrossed, "read answer")
+	return f.fail(target.Mismatched, ans.header.StatusCode(), errCrossed, "read answer")
 }
 
 // finish gives the connection back after a whole answer.
--- a/relay/flight.go
+++ b/relay/flight.go
@@ -128,7 +128,7 @@
 		return false
 	}
 	now := f.server.options.Clock.Now()
-	if !f.route.Retryable() || !f.life.MayRetry(target.Broken, now) || !f.server.options.Retries.Take() {
+	if !f.route.Retryable() || !f.life.MayRetry(target.Broken, now) || !f.server.options.Retries.TryWithdraw() {
 		return false
 	}
 	f.server.logAttempt(f, failureOfTarget, status, nil)
@@ -139,7 +139,7 @@
 // next decides whether another target is tried after a failed attempt.
 func (f *flight) next(fail *target.Failure) bool {
 	f.server.logAttempt(f, failureNames[fail.Kind], fail.Status, fail)
-	if fail.Kind == target.Crossed {
+	if fail.Kind == target.Mismatched {
 		f.server.options.Metrics.Inc(metric.AttemptsCrossed)
 	}
 	if f.interrupted() != running {
@@ -150,7 +150,7 @@
 		f.life.GiveUp(false) // another router may be faster
 		return false
 	}
-	take := f.server.options.Retries.Take
+	take := f.server.options.Retries.TryWithdraw
 	if fail.Kind == target.NotSent {
 		// The budget is for second arrivals at a service. Replaced attempts did
 		// arrive, at another run, so what follows them takes from it.
@@ -164,12 +164,12 @@
 
 // failureNames are the names of failures in logs and refusals.
 var failureNames = map[target.Kind]string{
-	target.NotSent:  "not_sent",
-	target.Refused:  "refused_by_target",
-	target.Replaced: "replaced",
-	target.Broken:   "broken",
-	target.Crossed:  "crossed",
-	target.Rejected: "rejected",
+	target.NotSent:    "not_sent",
+	target.Refused:    "refused_by_target",
+	target.Replaced:   "replaced",
+	target.Broken:     "broken",
+	target.Mismatched: "crossed",
+	target.Rejected:   "rejected",
 }
 
 // busyRetry is when a caller may come back after every target refused.
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -20,7 +20,7 @@
 // blame counts a target that ended while the request may have been running there; partial
 // tells that it had begun to answer.
 func (f *flight) blame(fail *target.Failure, partial bool) {
-	if !fail.Dropped() || f.interrupted() != running {
+	if !fail.ConnectionLost() || f.interrupted() != running {
 		return
 	}
 	loss := quarantine.Loss{Target: quarantine.IncarnationHash(place.HashOf(f.run.Incarnation())), Partial: partial}
--- a/relay/version.go
+++ b/relay/version.go
@@ -41,7 +41,7 @@
 	if f.interrupted() != running {
 		return
 	}
-	if fail.Kind == target.Broken || fail.Kind == target.Crossed {
+	if fail.Kind == target.Broken || fail.Kind == target.Mismatched {
 		f.judge(rollout.Outcome{Failed: true})
 	}
 	if f.versions.Only != "" {
--- a/request/budget.go
+++ b/request/budget.go
@@ -2,9 +2,8 @@
 
 import "sync"
 
-// Budget bounds retries to a part of the requests, so that a broken target or
-// data centre does not multiply the load on the others. It is safe for
-// concurrent use.
+// Budget limits retries to a ratio of the requests, so that a failed target or data
+// centre does not multiply the load on the others. It is safe for concurrent use.
 type Budget struct {
 	mu     sync.Mutex
 	tokens float64
@@ -12,23 +11,23 @@
 	burst  float64
 }
 
-// NewBudget returns a budget that allows ratio retries for each request, and
+// NewBudget returns a full budget that allows ratio retries for each request, and
 // burst retries at once.
 func NewBudget(ratio, burst float64) *Budget {
 	return &Budget{tokens: burst, ratio: ratio, burst: burst}
 }
 
-// Spend takes all retries that are there. A router that starts again does not know what it
-// spent just before: with a full budget after each start, a fleet that is killed and started
-// makes twice the retries that it may within seconds.
-func (b *Budget) Spend() {
+// Exhaust removes all available retries. A restarted router does not know which retries it
+// made just before: if it had a full budget after each start, a fleet that is killed and
+// restarted would make twice the allowed retries within seconds.
+func (b *Budget) Exhaust() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = 0
 }
 
-// SetBurst changes the retries allowed at once: the part of one router in what all may
-// make together depends on how many there are.
+// SetBurst changes the number of retries allowed at once. A router's part of the burst that
+// all routers may make together depends on the number of routers.
 func (b *Budget) SetBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,15 +35,15 @@
 	b.tokens = min(b.tokens, burst)
 }
 
-// Earn adds the part of one request.
-func (b *Budget) Earn() {
+// Deposit adds the retries that one request allows.
+func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.tokens+b.ratio, b.burst)
 }
 
-// Take takes one retry and reports whether there was one.
-func (b *Budget) Take() bool {
+// TryWithdraw removes one retry from the budget and reports whether one was available.
+func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/request/request.go
+++ b/request/request.go
@@ -1,10 +1,10 @@
-// Package request is the life cycle of a caller's request.
+// Package request implements the life cycle of a caller's request.
 //
-// A Request moves through explicit states and is the one place that decides
-// whether a failed attempt is repeated and what the caller is told in the end:
-// that it was answered, that it did not run, or that its outcome is unknown.
+// A Request moves through explicit states. It alone decides whether a failed
+// attempt is repeated and which outcome the caller receives: the request was
+// answered, it did not run, or its outcome is unknown.
 //
-// The package has no I/O and no clock.
+// The package does no I/O and uses no clock.
 //
 // # Usage
 //
@@ -13,15 +13,15 @@
 //	attempt := r.Dispatch(number)
 //	switch r.Fail(failure.Kind, now, budget.Take) {
 //	case request.Retry: // queue again
-//	case request.End:   // tell the caller r.Outcome()
+//	case request.End:   // return r.Outcome() to the caller
 //	}
 //
 // # Rules
 //
-// A request is told not run only if every attempt provably did not run: it did
-// not reach a target, or was refused by it or by another run of it. A request
-// that may not be repeated is sent once more only after such an attempt.
-// Attempts that end otherwise leave the outcome unknown.
+// The outcome is "not run" only if every attempt provably did not run: it did not
+// reach a target, or was refused by the target or by another incarnation of it. A
+// request that may not be repeated is sent again only after such an attempt. If an
+// attempt fails in another way, the outcome is unknown.
 package request
 
 import (
@@ -51,7 +51,7 @@
 // String returns the name of the state.
 func (s State) String() string { return stateNames[s] }
 
-// Outcome is what the caller is told about its request.
+// Outcome is the result of a request that is reported to the caller.
 type Outcome string
 
 // The outcomes.
@@ -61,27 +61,27 @@
 	Unknown  Outcome = "unknown"
 )
 
-// Decision is what follows a failed attempt.
+// Decision is the next step after a failed attempt.
 type Decision int
 
 // The decisions.
 const (
-	// End: the caller gets its final answer now.
+	// End means that the caller gets its final response now.
 	End Decision = iota
-	// Retry: the request goes back into the queue.
+	// Retry means that the request is queued again.
 	Retry
 )
 
 // Options describe a request.
 type Options struct {
 	ID string
-	// Repeatable requests may be sent again after an attempt that may have run.
+	// Repeatable means that the request may be sent again after an attempt that may have run.
 	Repeatable bool
 	Deadline   time.Time
-	// MaxAttempts bounds the attempts; at least 1.
+	// MaxAttempts is the maximum number of attempts, at least 1.
 	MaxAttempts int
-	// FreeUnsent is the number of attempts that did not reach the target they were
-	// meant for and do not count as attempts.
+	// FreeUnsent is the maximum number of attempts that do not count towards MaxAttempts
+	// because they did not reach the incarnation of the target that they were meant for.
 	FreeUnsent int
 }
 
@@ -90,17 +90,18 @@
 	options  Options
 	state    State
 	attempts int
-	// unsent is the number of attempts that did not reach their target.
+	// unsent is the number of attempts that did not reach the incarnation of the target
+	// that they were meant for.
 	unsent int
-	// exposed is set once an attempt may have run.
-	exposed bool
-	outcome Outcome
+	// mayHaveRun is set once an attempt may have run.
+	mayHaveRun bool
+	outcome    Outcome
 }
 
-// New returns a request that was received.
+// New returns a request in the state Received.
 func New(o Options) *Request { return &Request{options: o} }
 
-// ID returns the id that the caller and the targets see.
+// ID returns the id of the request, which the caller and the targets receive.
 func (r *Request) ID() string { return r.options.ID }
 
 // State returns the current state.
@@ -109,13 +110,13 @@
 // Attempts returns the number of attempts so far.
 func (r *Request) Attempts() int { return r.attempts }
 
-// Outcome returns what the caller is told. Before the end it is what the
-// caller would be told if the request ended now.
+// Outcome returns the outcome of the request. Before the request has ended it is the
+// outcome that the request would have if it ended now without an answer.
 func (r *Request) Outcome() Outcome {
 	switch {
 	case r.state == Ended:
 		return r.outcome
-	case r.exposed:
+	case r.mayHaveRun:
 		return Unknown
 	default:
 		return NotRun
@@ -131,9 +132,9 @@
 	Streaming:  {Queued, Ended},
 }
 
-// to moves to a state. A transition that is not in the table is a defect of
-// the caller.
-func (r *Request) to(s State) {
+// transitionTo changes the state. It panics if the transition is not in the table,
+// which is a defect of the calling code.
+func (r *Request) transitionTo(s State) {
 	for _, next := range transitions[r.state] {
 		if next == s {
 			r.state = s
@@ -143,59 +144,59 @@
 	panic(fmt.Sprintf("request %s: no transition from %s to %s", r.options.ID, r.state, s))
 }
 
-// Claim records that the request may run once and was claimed for it.
-func (r *Request) Claim() { r.to(Claimed) }
+// Claim records that the request, which may run only once, has been claimed.
+func (r *Request) Claim() { r.transitionTo(Claimed) }
 
 // Queue records that the request waits for a slot.
-func (r *Request) Queue() { r.to(Queued) }
+func (r *Request) Queue() { r.transitionTo(Queued) }
 
-// Dispatch records that an attempt is about to be sent and returns its id.
+// Dispatch records that an attempt is about to be sent and returns the attempt's id.
 func (r *Request) Dispatch() string {
-	r.to(Dispatched)
+	r.transitionTo(Dispatched)
 	r.attempts++
 	return r.options.ID + "-" + strconv.Itoa(r.attempts)
 }
 
-// Stream records that a part of the answer arrived.
+// Stream records that a part of the response was received.
 func (r *Request) Stream() {
-	r.exposed = true
+	r.mayHaveRun = true
 	if r.state != Streaming {
-		r.to(Streaming)
+		r.transitionTo(Streaming)
 	}
 }
 
-// Answer records that the whole answer arrived.
+// Answer records that the complete response was received.
 func (r *Request) Answer() {
-	r.to(Ended)
+	r.transitionTo(Ended)
 	r.outcome = Answered
 }
 
-// GiveUp ends a request that was not answered, because it was refused, its
-// deadline passed or its caller went away. Running says that an attempt is at
-// a target now.
+// GiveUp ends a request that was not answered because it was refused, its deadline
+// passed or its caller closed the connection. Running reports whether an attempt is
+// at a target now.
 func (r *Request) GiveUp(running bool) {
-	r.exposed = r.exposed || running
+	r.mayHaveRun = r.mayHaveRun || running
 	outcome := r.Outcome()
-	r.to(Ended)
+	r.transitionTo(Ended)
 	r.outcome = outcome
 }
 
-// Fail records a failed attempt and decides what follows. TakeRetry takes one
-// retry from the budget and reports whether there was one.
-func (r *Request) Fail(kind target.Kind, now time.Time, takeRetry func() bool) Decision {
-	r.exposed = r.exposed || !kind.NotRun()
+// Fail records a failed attempt and decides the next step. WithdrawRetry removes one
+// retry from the budget and reports whether one was available.
+func (r *Request) Fail(kind target.Kind, now time.Time, withdrawRetry func() bool) Decision {
+	r.mayHaveRun = r.mayHaveRun || !kind.NotRun()
 	if kind == target.NotSent || kind == target.Replaced {
 		r.unsent++
 	}
-	if r.MayRetry(kind, now) && takeRetry() {
+	if r.MayRetry(kind, now) && withdrawRetry() {
 		return Retry
 	}
 	r.GiveUp(false)
 	return End
 }
 
-// MayRetry reports whether a failed attempt of a kind could be repeated now,
-// budget apart.
+// MayRetry reports whether the request may be sent again now after an attempt that
+// failed with the given kind. It does not consider the budget.
 func (r *Request) MayRetry(kind target.Kind, now time.Time) bool {
 	switch {
 	case kind == target.Rejected:
--- a/request/request_test.go
+++ b/request/request_test.go
@@ -31,9 +31,9 @@
 		{"not sent, once", target.NotSent, false, start, always, Retry, NotRun},
 		{"refused, once", target.Refused, false, start, always, Retry, NotRun},
 		{"broken, once", target.Broken, false, start, always, End, Unknown},
-		{"crossed, once", target.Crossed, false, start, always, End, Unknown},
+		{"crossed, once", target.Mismatched, false, start, always, End, Unknown},
 		{"broken, repeatable", target.Broken, true, start, always, Retry, Unknown},
-		{"crossed, repeatable", target.Crossed, true, start, always, Retry, Unknown},
+		{"crossed, repeatable", target.Mismatched, true, start, always, Retry, Unknown},
 		{"rejected", target.Rejected, true, start, always, End, Unknown},
 		{"deadline passed", target.NotSent, true, deadline, always, End, NotRun},
 		{"budget spent", target.Refused, true, start, never, End, NotRun},
@@ -59,9 +59,10 @@
 	assert.Equal(t, r.Fail(target.Broken, start, always), End)
 }
 
-// TestNotRunMeansNotRun runs random histories of attempts and checks that no
-// caller is told that its request did not run when an attempt may have.
-func TestNotRunMeansNotRun(t *testing.T) {
+// TestOutcomeNotRunOnlyIfNoAttemptMayHaveRun runs random sequences of attempts. It
+// checks that the outcome is not NotRun if an attempt may have run, and that at most
+// one attempt of a request that is not repeatable may have run.
+func TestOutcomeNotRunOnlyIfNoAttemptMayHaveRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		repeatable := rapid.Bool().Draw(t, "repeatable")
 		r := New(Options{ID: "r", Repeatable: repeatable, Deadline: deadline, MaxAttempts: 5})
@@ -83,27 +84,27 @@
 			r.Fail(kind, start, func() bool { return budget })
 		}
 		if r.Outcome() == NotRun && mayHaveRun > 0 {
-			t.Fatalf("told not run after %d attempts that may have run", mayHaveRun)
+			t.Fatalf("outcome is not run after %d attempts that may have run", mayHaveRun)
 		}
 		if !repeatable && mayHaveRun > 1 {
-			t.Fatalf("%d attempts of a request that runs once", mayHaveRun)
+			t.Fatalf("%d attempts of a request that is not repeatable may have run", mayHaveRun)
 		}
 	})
 }
 
-func TestBudgetKeepsItsRatio(t *testing.T) {
+func TestBudgetBoundsRetriesToItsRatio(t *testing.T) {
 	b := NewBudget(0.1, 2)
 	taken := 0
 	for range 100 {
-		b.Earn()
-		if b.Take() {
+		b.Deposit()
+		if b.TryWithdraw() {
 			taken++
 		}
 	}
 	assert.Equal(t, taken, 11)
 }
 
-func TestUnsentAttemptsMayBeFree(t *testing.T) {
+func TestFreeUnsentAttemptsAreNotCounted(t *testing.T) {
 	always := func() bool { return true }
 	deadline := time.Now().Add(time.Minute)
 	r := New(Options{ID: "r", Deadline: deadline, MaxAttempts: 1, FreeUnsent: 1})
@@ -112,19 +113,19 @@
 	assert.Equal(t, r.Fail(target.NotSent, time.Now(), always), Retry)
 	r.Queue()
 	r.Dispatch()
-	assert.Equal(t, r.Fail(target.NotSent, time.Now(), always), End, "only one is free")
+	assert.Equal(t, r.Fail(target.NotSent, time.Now(), always), End, "only one unsent attempt is not counted")
 	assert.Equal(t, r.Outcome(), NotRun)
 	sent := New(Options{ID: "s", Deadline: deadline, MaxAttempts: 1, FreeUnsent: 1})
 	sent.Queue()
 	sent.Dispatch()
-	assert.Equal(t, sent.Fail(target.Refused, time.Now(), always), End, "a target that refused was reached")
+	assert.Equal(t, sent.Fail(target.Refused, time.Now(), always), End, "an attempt that a target refused is counted")
 }
 
-func TestBurstFollowsTheNumberOfRouters(t *testing.T) {
+func TestSetBurstLimitsRetriesAtOnce(t *testing.T) {
 	b := NewBudget(0, 40)
 	b.SetBurst(2)
 	taken := 0
-	for b.Take() {
+	for b.TryWithdraw() {
 		taken++
 	}
 	assert.Equal(t, taken, 2)
--- a/target/target.go
+++ b/target/target.go
@@ -1,8 +1,8 @@
 // Package target sends single attempts to engines and services.
 //
-// An attempt is sent once. Its failure says what is known of it at the target:
-// nothing arrived, the target refused it, or it may have run. An answer that
-// names another attempt is never handed over; its connection is closed.
+// An attempt is sent once. The kind of its failure states what is known about it at
+// the target: the target received nothing, refused it, or may have run it. A response
+// that names another attempt is never returned; its connection is closed.
 //
 // # Usage
 //
@@ -20,12 +20,13 @@
 // # Protocol of engines
 //
 // POST /v1/completions with the headers X-Request-Id, X-Attempt-Id, X-Priority
-// (lowest first) and X-Model-Version answers server-sent events. Each carries the
+// (lowest first) and X-Model-Version returns server-sent events. Each carries the
 // attempt's id and either the index and text of a token or the usage; the
-// stream is whole only with its end mark [DONE]. "resume_from" in the body is
-// the number of tokens already delivered. POST /v1/cancel?attempt=ID ends one.
-// 429 and 503 mean that the attempt was refused and did not run; with Retry-After the target
-// wants nothing for so long. X-Target-Leaving: 1 in any answer says that the target will end.
+// stream is complete only with its end mark [DONE]. "resume_from" in the body is
+// the number of tokens already delivered. POST /v1/cancel?attempt=ID cancels an attempt.
+// 429 and 503 mean that the attempt was refused and did not run; Retry-After is the time for
+// which the target requests a backoff. X-Target-Leaving: 1 in any response means that the
+// target is draining.
 package target
 
 import (
@@ -50,57 +51,57 @@
 	HeaderAttempt  = "X-Attempt-Id"
 	HeaderPriority = "X-Priority"
 	// HeaderVersion is the version of the model that the attempt is for. An
-	// engine that has another one loaded refuses the attempt.
+	// engine that has another version loaded refuses the attempt.
 	HeaderVersion = "X-Model-Version"
-	// HeaderLeaving is "1" in the answers of a target that will end and wants nothing new.
+	// HeaderLeaving is "1" in the responses of a draining target, which accepts no new requests.
 	HeaderLeaving = "X-Target-Leaving"
 )
 
-// Kind is what is known of a failed attempt.
+// Kind classifies a failed attempt by what is known about it at the target.
 type Kind int
 
 // The kinds of failure.
 const (
-	// NotSent: no byte reached the target.
+	// NotSent means that no byte reached the target.
 	NotSent Kind = iota
-	// Refused: the target said that it does not run the attempt.
+	// Refused means that the target responded that it does not run the attempt.
 	Refused
-	// Broken: the attempt was sent and no whole answer came back.
+	// Broken means that the attempt was sent and no complete response was received.
 	Broken
-	// Crossed: the answer was that of another attempt.
-	Crossed
-	// Rejected: the target found the request itself wrong.
+	// Mismatched means that the response was that of another attempt.
+	Mismatched
+	// Rejected means that the target considers the request itself invalid.
 	Rejected
-	// Replaced: another run of the target answered, which refuses what was meant
-	// for the one before.
+	// Replaced means that another incarnation of the target responded, which refuses
+	// attempts that were meant for an earlier one.
 	Replaced
 )
 
-// NotRun reports whether an attempt that failed so has provably not run.
+// NotRun reports whether an attempt that failed with this kind has provably not run.
 func (k Kind) NotRun() bool { return k == NotSent || k == Refused || k == Replaced }
 
 // Failure is the error of an attempt.
 type Failure struct {
 	Kind Kind
-	// Status is the target's HTTP status, 0 if there was none.
+	// Status is the HTTP status of the response, 0 if there was none.
 	Status int
-	// Err carries step and peer.
+	// Err is the cause, wrapped with the step and the peer.
 	Err error
 }
 
-// connectionEnds are the errors of a connection that the other side ended or reset.
-var connectionEnds = []error{
+// connectionErrors are the errors of a connection that was closed or reset by the peer.
+var connectionErrors = []error{
 	io.EOF, io.ErrUnexpectedEOF, fasthttp.ErrConnectionClosed, syscall.ECONNRESET, syscall.EPIPE,
 }
 
-// Dropped reports whether the connection went down from the target's side while the
-// attempt may have been running there, as it does when the target ends. Attempts that
-// this router ended and answers that cannot be read are none.
-func (f *Failure) Dropped() bool {
+// ConnectionLost reports whether the connection was closed or reset by the target while the
+// attempt may have been running there, as it is when the target terminates. It is false for
+// attempts that this router ended and for responses that cannot be parsed.
+func (f *Failure) ConnectionLost() bool {
 	if f.Kind != Broken {
 		return false
 	}
-	return slices.ContainsFunc(connectionEnds, func(end error) bool { return errs.Is(f.Err, end) })
+	return slices.ContainsFunc(connectionErrors, func(connErr error) bool { return errs.Is(f.Err, connErr) })
 }
 
 // Error returns the step, the peer and the cause.
@@ -109,26 +110,26 @@
 // Unwrap returns the wrapped error.
 func (f *Failure) Unwrap() error { return f.Err }
 
-// Attempt is one try of one request at one target.
+// Attempt is one attempt to run a request at a target.
 type Attempt struct {
-	Request  string
-	ID       string
-	Priority int64
+	RequestID string
+	ID        string
+	Priority  int64
 	// ModelVersion is the version of the model, empty for services.
 	ModelVersion string
-	// Deadline is on the clock of Go's timers.
+	// Deadline is compared with the clock of Go's timers.
 	Deadline time.Time
-	// Notice takes what the target says of itself in its answer; nil ignores that.
-	Notice func(notice.Notice)
+	// OnNotice is called with the notice in the target's response; nil ignores it.
+	OnNotice func(notice.Notice)
 }
 
 // Bounds of a client.
 const (
 	maxConns = 4096 + 64
-	// idle is shorter than targets keep connections, so that requests are
-	// rarely sent on a connection that the target is closing.
-	idle = 5 * time.Second
-	// cancelTimeout bounds telling an engine that an attempt is not wanted.
+	// idleTimeout is shorter than the idle timeout of the targets, so that requests
+	// are rarely sent on a connection that the target is closing.
+	idleTimeout = 5 * time.Second
+	// cancelTimeout bounds the request that cancels an attempt at an engine.
 	cancelTimeout = time.Second
 )
 
@@ -140,71 +141,72 @@
 	clients map[netip.AddrPort]*Client
 }
 
-// NewClients returns an empty set. Dial is passed to package httpc; nil is
-// plain TCP.
+// NewClients returns an empty set of clients. Dial is passed to package httpc; nil
+// means plain TCP.
 func NewClients(dial httpc.Dial) *Clients {
 	return &Clients{dial: dial, clients: make(map[netip.AddrPort]*Client)}
 }
 
-// Get returns the client of an address.
+// Get returns the client for an address and creates it if there is none.
 func (cs *Clients) Get(addr netip.AddrPort) *Client {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	c := cs.clients[addr]
 	if c == nil {
 		c = &Client{
-			peer:   addr.String(),
-			whole:  httpc.New(addr, httpc.Limits{Conns: maxConns, Body: maxAnswer, Idle: idle, Dial: cs.dial}),
-			stream: httpc.New(addr, httpc.Limits{Conns: maxConns, Stream: true, Idle: idle, Dial: cs.dial}),
+			peer:      addr.String(),
+			buffered:  httpc.New(addr, httpc.Limits{Conns: maxConns, Body: maxResponseSize, Idle: idleTimeout, Dial: cs.dial}),
+			streaming: httpc.New(addr, httpc.Limits{Conns: maxConns, Stream: true, Idle: idleTimeout, Dial: cs.dial}),
 		}
 		cs.clients[addr] = c
 	}
 	return c
 }
 
-// Close drops all idle connections.
+// Close closes all idle connections.
 func (cs *Clients) Close() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	for _, c := range cs.clients {
-		c.whole.CloseIdleConnections()
-		c.stream.CloseIdleConnections()
+		c.buffered.CloseIdleConnections()
+		c.streaming.CloseIdleConnections()
 	}
 }
 
 // Client sends attempts to one target. It is safe for concurrent use.
 type Client struct {
 	peer string
-	// whole reads answers to their end, stream hands them over before.
-	whole  *fasthttp.HostClient
-	stream *fasthttp.HostClient
+	// buffered reads complete responses before it returns them; streaming returns
+	// them when their header was read.
+	buffered  *fasthttp.HostClient
+	streaming *fasthttp.HostClient
 }
 
 func (c *Client) fail(k Kind, status int, err error, step string) *Failure {
 	return &Failure{Kind: k, Status: status, Err: errs.Wrap(err, step, c.peer)}
 }
 
-// prepare sets what all attempts have in common.
+// prepare sets the host and the headers that all attempts have in common.
 func (c *Client) prepare(req *fasthttp.Request, a Attempt) {
 	req.URI().SetScheme("http")
 	req.URI().SetHost(c.peer)
-	req.Header.Set(HeaderRequest, a.Request)
+	req.Header.Set(HeaderRequest, a.RequestID)
 	req.Header.Set(HeaderAttempt, a.ID)
 	if a.ModelVersion != "" {
 		req.Header.Set(HeaderVersion, a.ModelVersion)
 	}
 }
 
-// send sends a prepared request and checks who the answer is for.
-func (c *Client) send(via *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response, a Attempt, step string) *Failure {
-	if err := via.DoDeadline(req, resp, a.Deadline); err != nil {
+// send sends a prepared request and checks that the response is for the attempt.
+func (c *Client) send(client *fasthttp.HostClient, req *fasthttp.Request, resp *fasthttp.Response, a Attempt, step string) *Failure {
+	if err := client.DoDeadline(req, resp, a.Deadline); err != nil {
 		if httpc.NotSent(err) {
 			return c.fail(NotSent, 0, err, step)
 		}
 		return c.fail(Broken, 0, err, step)
 	}
-	if a.Notice != nil {
-		a.Notice(notice.Notice{Draining: string(resp.Header.Peek(HeaderLeaving)) == "1", Backoff: notice.Backoff(&resp.Header)})
+	if a.OnNotice != nil {
+		a.OnNotice(notice.Notice{Draining: string(resp.Header.Peek(HeaderLeaving)) == "1", Backoff: notice.Backoff(&resp.Header)})
 	}
 	status := resp.StatusCode()
 	if status == fasthttp.StatusTooManyRequests || status == fasthttp.StatusServiceUnavailable {
@@ -212,23 +214,23 @@
 	}
 	if status < fasthttp.StatusBadRequest && string(resp.Header.Peek(HeaderAttempt)) != a.ID {
 		resp.SetConnectionClose()
-		return c.fail(Crossed, status, errOtherAttempt, step)
+		return c.fail(Mismatched, status, errMismatched, step)
 	}
 	return nil
 }
 
-// maxAnswer is the largest answer of a service in bytes.
-const maxAnswer = 16 << 20
+// maxResponseSize is the maximum size of a service's response in bytes.
+const maxResponseSize = 16 << 20
 
-// Call sends an attempt to a service and reads the whole answer into resp. The
-// caller has set method, path, headers and body of req.
+// Call sends an attempt to a service and reads the complete response into resp. The
+// method, path, headers and body of req must be set.
 func (c *Client) Call(req *fasthttp.Request, resp *fasthttp.Response, a Attempt) *Failure {
 	c.prepare(req, a)
-	return c.send(c.whole, req, resp, a, "call service")
+	return c.send(c.buffered, req, resp, a, "call service")
 }
 
-// Cancel tells an engine that an attempt is not wanted any more. The engine
-// also notices the closed connection, so a lost cancel costs only time.
+// Cancel requests that an engine cancels an attempt. The engine also detects the closed
+// connection, so a lost cancel request only delays the cancellation.
 func (c *Client) Cancel(attempt string) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -236,5 +238,5 @@
 	req.SetRequestURI("http://" + c.peer + "/v1/cancel")
 	req.URI().QueryArgs().Set("attempt", attempt)
 	req.Header.SetMethod(fasthttp.MethodPost)
-	_ = c.whole.DoTimeout(req, resp, cancelTimeout)
+	_ = c.buffered.DoTimeout(req, resp, cancelTimeout)
 }
