--- a/dispatch/backoff.go
+++ b/dispatch/backoff.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// backoffRemaining returns the time until the first backoff of a target ends. It is 0 if a
-// target is not in a backoff now, or if all targets are draining and none is expected to accept
-// requests again.
+// backoffRemaining returns the time until the first backoff of a target ends, without the targets
+// that the platform is about to remove. It is 0 if one of the others is not in a backoff now, or
+// if there are no others, so that no target is expected to accept requests again.
 func (p *pool) backoffRemaining(now time.Time) time.Duration {
 	var shortest time.Duration
 	for _, t := range p.targets {
--- a/dispatch/backoff_test.go
+++ b/dispatch/backoff_test.go
@@ -23,23 +23,23 @@
 	const backoff = 3 * time.Second
 	for name, n := range map[string]notice.Notice{"backoff": {Backoff: backoff}, "leaving": {Draining: true}} {
 		t.Run(name, func(t *testing.T) {
-			pause := max(n.Backoff, map[bool]time.Duration{true: drainingBackoff}[n.Draining])
+			interval := max(n.Backoff, map[bool]time.Duration{true: drainingBackoff}[n.Draining])
 			f := newFixture(t, 1, 1)
 			slot := <-f.submit(t, 1).Granted()
 			backingOff := slot.Target().Number
 			slot.HandleNotice(n)
 			slot.Release(Refused)
-			f.clock.Advance(pause - time.Millisecond)
+			f.clock.Advance(interval - time.Millisecond)
 			f.balance()
 			other := <-f.submit(t, 1).Granted()
 			assert.Assert(t, other.Target().Number != backingOff)
 			var waiting []*Ticket
 			for range 3 {
-				ticket, err := f.submitWithTimeout(pause / 2)
+				ticket, err := f.submitWithTimeout(interval / 2)
 				assert.NilError(t, err)
 				waiting = append(waiting, ticket)
 			}
-			later, err := f.submitWithTimeout(2 * pause)
+			later, err := f.submitWithTimeout(2 * interval)
 			assert.NilError(t, err)
 			f.clock.Advance(time.Millisecond) // the first target's backoff ends
 			other.HandleNotice(n)
@@ -54,13 +54,13 @@
 				_, ok := <-ticket.Granted()
 				assert.Assert(t, !ok)
 				assert.Equal(t, ticket.Refusal().Cause, BackingOff)
-				assert.Equal(t, ticket.Refusal().RetryAfter, pause)
+				assert.Equal(t, ticket.Refusal().RetryAfter, interval)
 			}
-			_, err = f.submitWithTimeout(pause / 2)
+			_, err = f.submitWithTimeout(interval / 2)
 			var refused *RefusedError
 			assert.Assert(t, errors.As(err, &refused))
 			assert.Equal(t, refused.Cause, BackingOff)
-			f.clock.Advance(pause)
+			f.clock.Advance(interval)
 			f.balance()
 			assert.Assert(t, <-later.Granted() != nil, "a request with a later deadline waits for the end of the backoff")
 		})
--- a/dispatch/fleet_test.go
+++ b/dispatch/fleet_test.go
@@ -24,7 +24,7 @@
 	fleetSlots    = 6
 	fleetPeriod   = 20 // steps between exchanges
 	fleetSteps    = 3000
-	fleetLargest  = 120
+	fleetMaxCost  = 120
 	fleetInput    = 20
 	fleetCustomer = 8
 )
@@ -118,7 +118,7 @@
 			for r.pools[f.cfg.Models[0].Number].queue.WaitingOf(c) < 3 {
 				ticket, err := r.Submit(Request{Pool: f.cfg.Models[0].Number, Customer: c})
 				assert.NilError(t, err)
-				f.waiting = append(f.waiting, fakeWaiting{ticket, fakeRequest{customer: c, left: 1 + f.rng.IntN(fleetLargest-fleetInput)}})
+				f.waiting = append(f.waiting, fakeWaiting{ticket, fakeRequest{customer: c, left: 1 + f.rng.IntN(fleetMaxCost-fleetInput)}})
 			}
 		}
 	}
@@ -261,7 +261,7 @@
 		short := f.drive(t, fleetSteps)
 		long := f.drive(t, 3*fleetSteps)
 		period := float64(fleetPeriod * fleetTargets * fleetSlots)
-		bound := 2*fleetLargest + period
+		bound := 2*fleetMaxCost + period
 		t.Logf("seed %d: gap %.0f in %d steps, %.0f in %d, bound %.0f; busy %.3f; at most %d wait inside a target",
 			seed, short, fleetSteps, long, 3*fleetSteps, bound, float64(f.busy)/float64(f.offered), f.maxWaiting)
 		assert.Assert(t, short <= bound && long <= bound)
@@ -283,7 +283,7 @@
 	assert.Assert(t, rate > 0.9*fleetTargets*fleetSlots, "%.1f tokens a step", rate)
 	f.partitioned = false
 	f.drive(t, 500) // 5 s
-	bound := 2*fleetLargest + float64(fleetPeriod*fleetTargets*fleetSlots)
+	bound := 2*fleetMaxCost + float64(fleetPeriod*fleetTargets*fleetSlots)
 	gap := f.drive(t, 2000)
 	t.Logf("gap %.0f after the partition ended, bound %.0f", gap, bound)
 	assert.Assert(t, gap <= bound)
--- a/dispatch/target.go
+++ b/dispatch/target.go
@@ -29,7 +29,7 @@
 	quota int
 
 	// backoffUntil is the end of the backoff that the target requested or that
-	// follows from its draining. It receives no requests before.
+	// follows from its draining. The target receives no requests until then.
 	backoffUntil time.Time
 	// draining is set while the platform is about to remove the target.
 	draining bool
