--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -163,7 +163,7 @@
 func newRetries(s *settings.Settings) *request.Budget {
 	b := request.NewBudget(s.RetryRatio*retryShare, retryBurst(s.RetrySlack, assumedRouters-1))
 	if !s.FirstStart {
-		b.Spend()
+		b.Exhaust()
 	}
 	return b
 }
--- a/ingress/flow.go
+++ b/ingress/flow.go
@@ -149,12 +149,12 @@
 		f.server.options.Metrics.Inc(metric.Retries)
 	}
 	return target.Attempt{
-		Request:      f.request.ID(),
+		RequestID:    f.request.ID(),
 		ID:           f.request.Dispatch(),
 		Priority:     int64(f.slot.Level),
 		ModelVersion: f.slot.Target().ModelVersion,
 		Deadline:     bootclock.Steady(f.server.options.Clock, f.deadline),
-		Notice:       f.slot.Notice,
+		OnNotice:     f.slot.HandleNotice,
 	}
 }
 
@@ -181,7 +181,7 @@
 // handleFailure records a failed attempt. It returns nil if the request is to be
 // queued again, otherwise the refusal for the caller.
 func (f *flow) handleFailure(fail *target.Failure) *Refusal {
-	if fail.Kind == target.Crossed {
+	if fail.Kind == target.Mismatched {
 		f.server.options.Metrics.Inc(metric.AttemptsCrossed)
 	}
 	f.submission.Avoid = f.slot.Target().Number
@@ -192,11 +192,11 @@
 		f.request.GiveUp(true)
 		return f.withOutcome(refuse(CodeCallerGone, "the caller went away"))
 	}
-	if fail.Dropped() {
+	if fail.ConnectionLost() {
 		f.server.options.Quarantine.RecordLoss(&f.content, quarantine.Loss{Target: incarnationOf(f.slot.Target(), now), Partial: f.partial})
 	}
 	f.release(dispatchResults[fail.Kind])
-	if f.request.Fail(fail.Kind, now, f.server.retries.Take) == request.Retry {
+	if f.request.Fail(fail.Kind, now, f.server.retries.TryWithdraw) == request.Retry {
 		f.backOff()
 		return nil
 	}
@@ -238,12 +238,12 @@
 
 // dispatchResults maps the failure of an attempt to the result for the dispatcher.
 var dispatchResults = map[target.Kind]dispatch.Result{
-	target.NotSent:  dispatch.Failed,
-	target.Refused:  dispatch.Refused,
-	target.Broken:   dispatch.Failed,
-	target.Crossed:  dispatch.Failed,
-	target.Rejected: dispatch.Cancelled,
-	target.Replaced: dispatch.Refused,
+	target.NotSent:    dispatch.Failed,
+	target.Refused:    dispatch.Refused,
+	target.Broken:     dispatch.Failed,
+	target.Mismatched: dispatch.Failed,
+	target.Rejected:   dispatch.Cancelled,
+	target.Replaced:   dispatch.Refused,
 }
 
 func failureRefusal(fail *target.Failure) *Refusal {
--- a/relay/admit.go
+++ b/relay/admit.go
@@ -183,5 +183,5 @@
 		ID: f.call.ID, Repeatable: f.route.Retryable(), Deadline: f.deadline, MaxAttempts: f.route.MaxAttempts,
 		FreeUnsent: freeUnsent,
 	})
-	f.server.options.Retries.Earn()
+	f.server.options.Retries.Deposit()
 }
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -89,12 +89,12 @@
 
 // results maps the kind of a failed attempt to the result reported to the placer.
 var results = map[target.Kind]place.Result{
-	target.NotSent:  place.Unreachable,
-	target.Refused:  place.Refused,
-	target.Replaced: place.Replaced,
-	target.Broken:   place.Failed,
-	target.Crossed:  place.Failed,
-	target.Rejected: place.Cancelled,
+	target.NotSent:    place.Unreachable,
+	target.Refused:    place.Refused,
+	target.Replaced:   place.Replaced,
+	target.Broken:     place.Failed,
+	target.Mismatched: place.Failed,
+	target.Rejected:   place.Cancelled,
 }
 
 // fail describes a failure of the current attempt. Status is 0 if the failure is not a
@@ -275,7 +275,7 @@
 		}
 		mismatched++
 		if err := newBody(c.Reader, &resp.header, false).discard(); err != nil {
-			return f.fail(target.Crossed, 0, err, "discard the response to another request")
+			return f.fail(target.Mismatched, 0, err, "discard the response to another request")
 		}
 	}
 }
@@ -287,7 +287,7 @@
 			return fail
 		}
 	}
-	return f.fail(target.Crossed, resp.header.StatusCode(), errMismatchedID, "read response")
+	return f.fail(target.Mismatched, resp.header.StatusCode(), errMismatchedID, "read response")
 }
 
 // releaseConn returns the connection to the pool after a complete response, or closes it if it
--- a/relay/flight.go
+++ b/relay/flight.go
@@ -129,7 +129,7 @@
 		return false
 	}
 	now := f.server.options.Clock.Now()
-	if !f.route.Retryable() || !f.lifecycle.MayRetry(target.Broken, now) || !f.server.options.Retries.Take() {
+	if !f.route.Retryable() || !f.lifecycle.MayRetry(target.Broken, now) || !f.server.options.Retries.TryWithdraw() {
 		return false
 	}
 	f.server.logAttempt(f, failureOfTarget, status, nil)
@@ -140,7 +140,7 @@
 // retryAfterFailure decides whether another target is tried after a failed attempt.
 func (f *flight) retryAfterFailure(fail *target.Failure) bool {
 	f.server.logAttempt(f, failureNames[fail.Kind], fail.Status, fail)
-	if fail.Kind == target.Crossed {
+	if fail.Kind == target.Mismatched {
 		f.server.options.Metrics.Inc(metric.AttemptsCrossed)
 	}
 	if f.interrupted() != causeNone {
@@ -151,7 +151,7 @@
 		f.lifecycle.GiveUp(false) // another router may be faster
 		return false
 	}
-	take := f.server.options.Retries.Take
+	take := f.server.options.Retries.TryWithdraw
 	if fail.Kind == target.NotSent {
 		// The budget limits repeated arrivals at a service. Replaced attempts did arrive, at
 		// another incarnation of the target, so the retry after one is counted against the
@@ -166,12 +166,12 @@
 
 // failureNames are the names of failures in logs and refusals.
 var failureNames = map[target.Kind]string{
-	target.NotSent:  "not_sent",
-	target.Refused:  "refused_by_target",
-	target.Replaced: "replaced",
-	target.Broken:   "broken",
-	target.Crossed:  "crossed",
-	target.Rejected: "rejected",
+	target.NotSent:    "not_sent",
+	target.Refused:    "refused_by_target",
+	target.Replaced:   "replaced",
+	target.Broken:     "broken",
+	target.Mismatched: "crossed",
+	target.Rejected:   "rejected",
 }
 
 // busyRetry is the shortest Retry-After of a request that every target refused.
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -20,7 +20,7 @@
 // recordLoss counts a target that ended while the request may have been running there; partial
 // reports that it had begun to respond.
 func (f *flight) recordLoss(fail *target.Failure, partial bool) {
-	if !fail.Dropped() || f.interrupted() != causeNone {
+	if !fail.ConnectionLost() || f.interrupted() != causeNone {
 		return
 	}
 	loss := quarantine.Loss{Target: quarantine.IncarnationHash(place.HashOf(f.run.Incarnation())), Partial: partial}
--- a/relay/version.go
+++ b/relay/version.go
@@ -43,7 +43,7 @@
 	if f.interrupted() != causeNone {
 		return
 	}
-	if fail.Kind == target.Broken || fail.Kind == target.Crossed {
+	if fail.Kind == target.Broken || fail.Kind == target.Mismatched {
 		f.recordOutcome(rollout.Outcome{Failed: true})
 	}
 	if f.versions.Only != "" {
