--- a/bootclock/bootclock_test.go
+++ b/bootclock/bootclock_test.go
@@ -9,29 +9,29 @@
 	"gotest.tools/v3/assert"
 )
 
-// host is a host whose clocks a test moves.
+// host simulates a host whose clocks a test controls.
 type host struct {
-	clock             *clockwork.FakeClock
-	began             time.Time
-	stepped, away     time.Duration
-	pause             time.Duration
-	readings, refused int
+	clock                  *clockwork.FakeClock
+	start                  time.Time
+	wallStep, suspended    time.Duration
+	pause                  time.Duration
+	bootReads, unsupported int
 }
 
 func newHost() (*host, *Clock) {
 	h := &host{clock: clockwork.NewFakeClock()}
-	h.began = h.clock.Now()
-	steady := func(now time.Time) time.Duration { return now.Sub(h.began) }
+	h.start = h.clock.Now()
+	monotonic := func(now time.Time) time.Duration { return now.Sub(h.start) }
 	return h, &Clock{
-		Clock:  h.clock,
-		steady: steady,
-		day:    func(now time.Time) time.Duration { return steady(now) + h.stepped + h.away },
+		Clock:     h.clock,
+		monotonic: monotonic,
+		wall:      func(now time.Time) time.Duration { return monotonic(now) + h.wallStep + h.suspended },
 		boot: func() (time.Duration, error) {
-			h.readings++
-			if h.refused > 0 {
+			h.bootReads++
+			if h.unsupported > 0 {
 				return 0, errors.New("no such clock")
 			}
-			boot := steady(h.clock.Now()) + h.away
+			boot := monotonic(h.clock.Now()) + h.suspended
 			h.clock.Advance(h.pause)
 			h.pause = 0
 			return boot, nil
@@ -39,65 +39,67 @@
 	}
 }
 
-// TestSuspensionCounts has the host suspended twice. Go's clock counts nothing of it: a
-// lease of six seconds was held after ten.
+// TestSuspensionCounts guards against time that stops while the host is suspended: with Go's
+// clock, which excludes suspension, a lease of six seconds was still held after ten. The host
+// is suspended twice.
 func TestSuspensionCounts(t *testing.T) {
 	h, c := newHost()
 	began := c.Now()
 	h.clock.Advance(time.Second)
 	assert.Equal(t, c.Since(began), time.Second)
-	assert.Equal(t, h.readings, 0, "no call of the kernel while the clocks agree")
-	h.away += 5 * time.Second
-	assert.Equal(t, c.Since(began), 6*time.Second, "at once, before any timer")
+	assert.Equal(t, h.bootReads, 0, "no system call while the clocks agree")
+	h.suspended += 5 * time.Second
+	assert.Equal(t, c.Since(began), 6*time.Second, "counted immediately, before any timer fires")
 	h.clock.Advance(time.Second)
-	h.away += 4 * time.Second
+	h.suspended += 4 * time.Second
 	assert.Equal(t, c.Since(began), 11*time.Second)
-	assert.Equal(t, c.Away(), 9*time.Second)
-	assert.Equal(t, h.readings, 2)
+	assert.Equal(t, c.TotalSuspended(), 9*time.Second)
+	assert.Equal(t, h.bootReads, 2)
 	assert.Equal(t, c.Until(began.Add(12*time.Second)), time.Second)
-	assert.Equal(t, Steady(c, c.Now()), h.clock.Now(), "timers do not count it")
+	assert.Equal(t, ToMonotonic(c, c.Now()), h.clock.Now(), "timers do not include suspension")
 	w := Watch{Clock: c}
 	assert.Equal(t, w.Suspended(), 9*time.Second)
-	assert.Equal(t, w.Suspended(), time.Duration(0), "told once")
+	assert.Equal(t, w.Suspended(), time.Duration(0), "reported once")
 }
 
 func TestStepsOfTheTimeOfDayDoNotCount(t *testing.T) {
 	h, c := newHost()
 	began := c.Now()
 	for _, step := range []time.Duration{2 * time.Second, -7 * time.Second, 5 * time.Second} {
-		h.stepped += step
+		h.wallStep += step
 		h.clock.Advance(time.Second)
 		c.Now()
 	}
 	assert.Equal(t, c.Since(began), 3*time.Second)
-	assert.Equal(t, c.Away(), time.Duration(0))
-	// Both at once.
-	h.stepped -= 3 * time.Second
-	h.away += 10 * time.Second
+	assert.Equal(t, c.TotalSuspended(), time.Duration(0))
+	// A step of the time of day and a suspension at the same time.
+	h.wallStep -= 3 * time.Second
+	h.suspended += 10 * time.Second
 	assert.Equal(t, c.Since(began), 13*time.Second)
 }
 
-// TestPauseOfTheProcessDoesNotCount has the process stand still while it reads the clocks.
+// TestPauseOfTheProcessDoesNotCount guards against counting a pause of the process as a
+// suspension of the host: the process is paused while it reads the clocks.
 func TestPauseOfTheProcessDoesNotCount(t *testing.T) {
 	h, c := newHost()
-	h.stepped += time.Second
+	h.wallStep += time.Second
 	h.pause = 300 * time.Millisecond
 	c.Now()
-	assert.Equal(t, c.Away(), time.Duration(0))
-	h.away += 2 * time.Second
+	assert.Equal(t, c.TotalSuspended(), time.Duration(0))
+	h.suspended += 2 * time.Second
 	h.pause = 300 * time.Millisecond
 	c.Now()
-	assert.Equal(t, c.Away(), 2*time.Second)
+	assert.Equal(t, c.TotalSuspended(), 2*time.Second)
 }
 
 func TestKernelWithoutTheClock(t *testing.T) {
 	h, c := newHost()
-	h.refused = 1
+	h.unsupported = 1
 	began := c.Now()
-	h.away += time.Second
+	h.suspended += time.Second
 	h.clock.Advance(time.Second)
 	assert.Equal(t, c.Since(began), time.Second)
-	assert.Equal(t, h.readings, 1, "and not asked again and again")
+	assert.Equal(t, h.bootReads, 1, "a missing clock is not read repeatedly")
 }
 
 func TestRealClockAgreesWithGos(t *testing.T) {
@@ -109,12 +111,13 @@
 	assert.NilError(t, err)
 	assert.Assert(t, booted >= 20*time.Millisecond)
 	other := clockwork.NewFakeClock()
-	assert.Equal(t, Steady(other, other.Now()), other.Now())
+	assert.Equal(t, ToMonotonic(other, other.Now()), other.Now())
 	w := Watch{Clock: other}
 	assert.Equal(t, w.Suspended(), time.Duration(0))
 }
 
-// BenchmarkNow: 88 ns; Go's own clock takes 60 ns, a call of the kernel 190 ns.
+// BenchmarkNow measures Now, which takes 88 ns; Go's own clock takes 60 ns and a system call
+// 190 ns.
 func BenchmarkNow(b *testing.B) {
 	c := New()
 	for b.Loop() {
@@ -130,6 +133,6 @@
 
 func BenchmarkSinceBoot(b *testing.B) {
 	for b.Loop() {
-		sinceBoot() //nolint:errcheck // measured only
+		sinceBoot() //nolint:errcheck // only its duration matters
 	}
 }
--- a/ingress/completion.go
+++ b/ingress/completion.go
@@ -210,7 +210,7 @@
 	for {
 		c.writeEvent(w, &ev)
 		until := clock.Now().Add(c.server.options.Limits.Write)
-		conn.SetWriteDeadline(bootclock.Steady(clock, until)) //nolint:errcheck // the write fails then
+		conn.SetWriteDeadline(bootclock.ToMonotonic(clock, until)) //nolint:errcheck // the write fails then
 		if err := w.Flush(); err != nil {
 			c.abort()
 			return
--- a/ingress/flow.go
+++ b/ingress/flow.go
@@ -152,7 +152,7 @@
 		ID:           f.request.Dispatch(),
 		Priority:     int64(f.slot.Level),
 		ModelVersion: f.slot.Target().ModelVersion,
-		Deadline:     bootclock.Steady(f.server.options.Clock, f.deadline),
+		Deadline:     bootclock.ToMonotonic(f.server.options.Clock, f.deadline),
 		Notice:       f.slot.Notice,
 	}
 }
--- a/ingress/once.go
+++ b/ingress/once.go
@@ -49,7 +49,7 @@
 }
 
 func (f *flow) claim(key claim.Key) (*claim.Claim, *claim.Record, error) {
-	c, cancel := context.WithDeadline(context.Background(), bootclock.Steady(f.server.options.Clock, f.deadline))
+	c, cancel := context.WithDeadline(context.Background(), bootclock.ToMonotonic(f.server.options.Clock, f.deadline))
 	defer cancel()
 	return f.server.options.Claims.Claim(c, key, f.request.ID())
 }
--- a/order/order.go
+++ b/order/order.go
@@ -148,7 +148,7 @@
 	req.SetRequestURI("http://" + addr.String() + path)
 	req.Header.SetMethod(method)
 	req.SetBodyRaw(body)
-	err := hc.DoDeadline(req, resp, bootclock.Steady(c.clock, c.clock.Now().Add(Timeout)))
+	err := hc.DoDeadline(req, resp, bootclock.ToMonotonic(c.clock, c.clock.Now().Add(Timeout)))
 	return resp.StatusCode(), append([]byte(nil), resp.Body()...), err
 }
 
--- a/relay/memory.go
+++ b/relay/memory.go
@@ -141,7 +141,7 @@
 		return
 	}
 	clock := f.server.options.Clock
-	if err := conn.SetReadDeadline(bootclock.Steady(clock, clock.Now().Add(discardTimeout))); err != nil {
+	if err := conn.SetReadDeadline(bootclock.ToMonotonic(clock, clock.Now().Add(discardTimeout))); err != nil {
 		conn.Close() //nolint:errcheck // the connection is of no use
 	}
 }
--- a/relay/stall.go
+++ b/relay/stall.go
@@ -41,7 +41,7 @@
 		return
 	}
 	clock := f.server.options.Clock
-	if err := f.conn.SetWriteDeadline(bootclock.Steady(clock, clock.Now().Add(limit))); err != nil {
+	if err := f.conn.SetWriteDeadline(bootclock.ToMonotonic(clock, clock.Now().Add(limit))); err != nil {
 		f.conn.Close() //nolint:errcheck // it is closed already
 	}
 }
--- a/standin/testrouter/clock.go
+++ b/standin/testrouter/clock.go
@@ -25,11 +25,11 @@
 	h := &hostClock{Clock: clockwork.NewRealClock()}
 	began := time.Now()
 	passed := func() time.Duration { return time.Since(began) }
-	return h, bootclock.NewOf(bootclock.Sources{
-		Steady: h,
-		Day:    func(time.Time) time.Duration { return passed() },
-		Boot:   func() (time.Duration, error) { return passed(), nil },
-		Timers: func(t time.Time) time.Time { return t.Add(time.Duration(h.asleep.Load())) },
+	return h, bootclock.NewFromSources(bootclock.Sources{
+		Monotonic: h,
+		Wall:      func(time.Time) time.Duration { return passed() },
+		Boot:      func() (time.Duration, error) { return passed(), nil },
+		Timers:    func(t time.Time) time.Time { return t.Add(time.Duration(h.asleep.Load())) },
 	})
 }
 
