--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,13 +1,13 @@
-// Package daemon is the router: it joins callers, targets, peers and platform.
+// Package daemon is the router process: it connects callers, targets, peers and the platform.
 //
 // One goroutine, the control loop in loop.go, owns the membership and the
-// exchanged counters. Callers are served by their own goroutines, which meet
-// the control loop only in the dispatcher and in immutable snapshots.
+// exchanged counters. Callers are served by goroutines of their own, which share
+// state with the control loop only through the dispatcher and immutable snapshots.
 //
 // # Usage
 //
 //	d, err := daemon.Start(daemon.Options{Settings: s, Clock: clock, Log: log})
-//	defer d.Close() // the planned stop
+//	defer d.Close() // graceful shutdown
 package daemon
 
 import (
@@ -45,8 +45,8 @@
 	"zinccove.example/zinccove/target"
 )
 
-// Options configure a daemon. The first three are required; the others are
-// seams for proofs and experiments.
+// Options configure a daemon. The first three fields are required; tests and
+// experiments replace the others.
 type Options struct {
 	Settings *settings.Settings
 	Clock    clockwork.Clock
@@ -54,24 +54,26 @@
 
 	// Dial connects to targets, routers and the platform.
 	Dial httpc.Dial
-	// Reachable tells which addresses heartbeats get to.
+	// Reachable reports whether heartbeats reach an address. Tests use it to simulate
+	// partitions; nil means that all addresses are reachable.
 	Reachable func(netip.AddrPort) bool
-	// Tune changes the dispatcher's options.
+	// Tune modifies the dispatcher's options before the dispatcher is made.
 	Tune func(*dispatch.Options)
 }
 
-// Tuning that operators have no reason to change.
+// Parameters that operators have no reason to change.
 const (
 	// catchup is the lag in cost per unit of weight that doubles a customer's
-	// part of the slots.
+	// share of the slots.
 	catchup = 2000
 	// overcommit is the number of requests above its slots that one router may
-	// place at a target while windows of different age overlap.
+	// place at a target while the windows of different routers, computed from
+	// counters of different age, overlap.
 	overcommit = 2
 	// peerTimeout bounds a call to another router.
 	peerTimeout = 2 * time.Second
-	// peerIdle is how long a connection to another router is kept unused.
-	peerIdle = 10 * time.Second
+	// peerIdleTimeout is how long an idle connection to another router is kept open.
+	peerIdleTimeout = 10 * time.Second
 )
 
 // Daemon is a running router.
@@ -85,7 +87,7 @@
 	dispatcher *dispatch.Dispatcher
 	clients    *target.Clients
 	claims     *claim.Store
-	// quarantine knows the requests that end their targets.
+	// quarantine lists the requests that terminate the targets that run them.
 	quarantine *quarantine.List
 	transport  *peer.Transport
 	control    *control.Server
@@ -98,11 +100,11 @@
 	group    errgroup.Group
 	stop     context.CancelFunc
 	stopping atomic.Bool
-	// syncNow asks the poller to look at the platform's head at once.
+	// syncNow makes the poller read the platform's configuration head immediately.
 	syncNow chan struct{}
 }
 
-// Start opens all addresses and begins to serve.
+// Start opens all addresses and starts serving.
 func Start(o Options) (*Daemon, error) {
 	s := o.Settings
 	metrics, err := metric.New()
@@ -137,7 +139,7 @@
 	s := o.Settings
 	options := dispatch.Options{
 		Clock: o.Clock, Host: s.Host, DataCentre: s.DataCentre, Catchup: catchup, Overcommit: overcommit,
-		Queue: fair.Limits{PerCustomer: s.QueueLimit}, DebtRequests: s.DebtRequests, Noticed: d.noticed,
+		Queue: fair.Limits{PerCustomer: s.QueueLimit}, DebtRequests: s.DebtRequests, Noticed: d.handleNotice,
 	}
 	if o.Tune != nil {
 		o.Tune(&options)
@@ -145,28 +147,29 @@
 	return options
 }
 
-// noticed tells that a target gets nothing for a while, as it said itself.
-func (d *Daemon) noticed(t config.Target, n notice.Notice) {
+// handleNotice counts and logs a notice by which a target announced that it is draining or
+// requested a backoff. The dispatcher then places nothing at it for a while.
+func (d *Daemon) handleNotice(t config.Target, n notice.Notice) {
 	if n.Draining {
 		d.metrics.Inc(metric.NoticesLeaving)
 		d.log.Info().Str("target", t.Name).Stringer("address", t.Address).Msg("target says that it leaves")
 		return
 	}
 	d.metrics.Inc(metric.NoticesBackoff)
-	d.log.Info().Str("target", t.Name).Stringer("address", t.Address).Dur("backoff_ms", n.Backoff).Msg("target wants a backoff")
+	d.log.Info().Str("target", t.Name).Stringer("address", t.Address).Dur("backoff_ms", n.Backoff).Msg("target requested a backoff")
 }
 
-// peerTransport carries calls to other routers.
+// peerTransport returns the HTTP transport for calls to other routers.
 func peerTransport(dial httpc.Dial) *http.Transport {
-	t := &http.Transport{IdleConnTimeout: peerIdle}
+	t := &http.Transport{IdleConnTimeout: peerIdleTimeout}
 	if dial != nil {
 		t.DialContext = func(_ context.Context, _, addr string) (net.Conn, error) { return dial(addr, peerTimeout) }
 	}
 	return t
 }
 
-// start opens the addresses in an order in which nothing is asked of a part
-// that is not there yet.
+// start opens the addresses in the order of their dependencies, so that no component is
+// used before it exists.
 func (d *Daemon) start(store *intent.Store) error {
 	var err error
 	s := d.settings
@@ -176,7 +179,7 @@
 	}
 	d.control, err = control.Listen(control.Options{
 		Address: s.ListenControl, FleetKey: s.FleetKey, Operators: s.Operators, Store: store, Syncer: d.syncer,
-		Config: d.config, Levels: d.dispatcher.Levels, Status: d.loop.contact.Statuses, Confirmed: d.askSync, Ready: d.ready,
+		Config: d.config, Levels: d.dispatcher.Levels, Status: d.loop.contact.Statuses, Confirmed: d.requestSync, Ready: d.ready,
 		WrongKey: func() { d.metrics.Inc(metric.WrongOperatorKeys) }, Metrics: d.metrics.Handler(),
 	})
 	if err != nil {
@@ -195,16 +198,16 @@
 	d.stop = cancel
 	d.group.Go(func() error { return d.loop.run(ctx) })
 	d.group.Go(func() error { return d.poll(ctx) })
-	d.group.Go(func() error { return d.giveOrders(ctx) })
-	keeper := quarantine.Persister{List: d.quarantine, Table: d.platform.Table(), Clock: d.clock, Log: d.log, Metrics: d.metrics}
-	d.group.Go(func() error { return keeper.Run(ctx) })
+	d.group.Go(func() error { return d.runOrders(ctx) })
+	persister := quarantine.Persister{List: d.quarantine, Table: d.platform.Table(), Clock: d.clock, Log: d.log, Metrics: d.metrics}
+	d.group.Go(func() error { return persister.Run(ctx) })
 	d.log.Info().Stringer("caller", d.ingress.Address()).Stringer("control", d.control.Address()).
 		Stringer("peer", d.transport.Address()).Msg("started")
 	return nil
 }
 
-// Close makes the planned stop: the balancer and the peers are told, accepted
-// requests end, then everything is closed.
+// Close shuts the router down gracefully: it announces the stop to the load balancer and
+// the peers, lets accepted requests finish and then closes everything.
 func (d *Daemon) Close() error {
 	d.stopping.Store(true)
 	d.log.Info().Msg("stopping")
@@ -220,7 +223,8 @@
 	return err
 }
 
-// config is what peers are given.
+// config returns the configuration that peers fetch from this router, or nil if none is in
+// force.
 func (d *Daemon) config() *zinccovev1.FetchConfigResponse {
 	snap := d.syncer.Current()
 	if snap == nil {
@@ -229,10 +233,10 @@
 	return &zinccovev1.FetchConfigResponse{Version: snap.Version(), Digest: snap.Digest, Body: snap.Body}
 }
 
-// ready reports whether the balancer may send callers here.
+// ready reports whether the load balancer may send callers to this router.
 func (d *Daemon) ready() bool { return d.syncer.Current() != nil && !d.stopping.Load() }
 
-// adopt brings a configuration in force.
+// adopt puts a configuration in force.
 func (d *Daemon) adopt(cfg *config.Config) {
 	d.dispatcher.Configure(cfg)
 	d.metrics.Inc(metric.ConfigAdopted)
@@ -240,41 +244,41 @@
 	d.log.Info().Uint64("version", cfg.Version).Msg("configuration in force")
 }
 
-// askSync makes the poller look at the platform's head at once.
-func (d *Daemon) askSync() {
+// requestSync makes the poller read the platform's configuration head immediately.
+func (d *Daemon) requestSync() {
 	select {
 	case d.syncNow <- struct{}{}:
 	default:
 	}
 }
 
-// jitter is the part by which periods vary, so that routers that started
-// together do not stay in step.
+// jitter is the fraction by which intervals vary, so that routers that started
+// at the same time do not stay synchronized.
 const jitter = 0.2
 
-func jittered(period time.Duration) time.Duration {
-	return time.Duration(float64(period) * (1 - jitter/2 + jitter*rand.Float64()))
+func jittered(interval time.Duration) time.Duration {
+	return time.Duration(float64(interval) * (1 - jitter/2 + jitter*rand.Float64()))
 }
 
-// hostListPeriod is the time between looks at the platform's list of hosts
-// once another router was heard; before that, each poll looks at it.
-const hostListPeriod = 2 * time.Second
+// hostListInterval is the time between reads of the platform's list of hosts
+// once a heartbeat of another router was received; before that, each poll reads it.
+const hostListInterval = 2 * time.Second
 
-// poll looks at the platform until ctx ends.
+// poll reads the configuration and the list of hosts from the platform until ctx is done.
 func (d *Daemon) poll(ctx context.Context) error {
 	var hostsRead time.Time
 	down := false
 	for {
 		err := d.syncer.Poll(ctx)
 		d.claims.Recover()
-		if err == nil && (d.loop.contact.Isolated() || d.clock.Since(hostsRead) >= hostListPeriod) {
+		if err == nil && (d.loop.contact.Isolated() || d.clock.Since(hostsRead) >= hostListInterval) {
 			var hosts []platform.Host
 			if hosts, err = d.platform.Hosts(ctx); err == nil {
 				hostsRead = d.clock.Now()
-				d.loop.post(func(l *loop) { l.learnHosts(hosts) })
+				d.loop.post(func(l *loop) { l.updateHosts(hosts) })
 			}
 		}
-		down = d.notePlatform(err, down)
+		down = d.logPlatformState(err, down)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -284,8 +288,9 @@
 	}
 }
 
-// notePlatform counts failures and logs when the platform goes or comes back.
-func (d *Daemon) notePlatform(err error, down bool) bool {
+// logPlatformState counts failures, logs when the platform becomes unreachable or reachable
+// again, and returns whether it is unreachable now.
+func (d *Daemon) logPlatformState(err error, down bool) bool {
 	if err != nil {
 		d.metrics.Inc(metric.PlatformErrors)
 		if !down {
@@ -312,7 +317,8 @@
 	return resp.Body, resp.Digest, nil
 }
 
-// fetchLevels takes the service levels of another router.
+// fetchLevels fetches the service levels of another router and raises those of the
+// dispatcher to them.
 func (d *Daemon) fetchLevels(ctx context.Context, addr netip.AddrPort) error {
 	resp, err := d.peerClient(addr).FetchService(ctx, new(zinccovev1.FetchServiceRequest))
 	if err != nil {
--- a/daemon/loop.go
+++ b/daemon/loop.go
@@ -17,58 +17,62 @@
 	"zinccove.example/zinccove/platform"
 )
 
-// Periods and bounds of the control loop.
+// Intervals and limits of the control loop.
 const (
-	// tickPeriod is the time between recomputations of the windows.
-	tickPeriod = 50 * time.Millisecond
-	// failureTimeout is the shortest silence after which a router is not
-	// reachable.
+	// tickInterval is the time between two ticks of the control loop.
+	tickInterval = 50 * time.Millisecond
+	// failureTimeout is the shortest time without a heartbeat after which a router
+	// is considered unreachable.
 	failureTimeout = 3 * time.Second
-	// missedBeats is the number of own periods of heartbeats that a silence must
-	// last; all routers of a fleet have about the same period.
-	missedBeats = 4
-	// forgetAfter is the silence after which a router is forgotten.
+	// missedHeartbeats is the number of this router's own heartbeat intervals that must pass
+	// without a heartbeat of another router before that router is considered unreachable; all
+	// routers of a fleet have about the same interval.
+	missedHeartbeats = 4
+	// forgetAfter is the time without a heartbeat after which a router is removed from the
+	// membership.
 	forgetAfter = time.Hour
-	// inbox holds the tasks that wait for the control loop.
-	inbox = 1024
-	// identifyEvery is the number of heartbeats from one that says who the
-	// sender is to the next.
+	// taskQueueSize is the number of tasks that may wait for the control loop.
+	taskQueueSize = 1024
+	// identifyEvery is the number of heartbeats from one that carries the identity of the
+	// sender to the next.
 	identifyEvery = 8
-	// lateSequence is the number of heartbeats after which a run that is first
-	// heard has been going on for long.
-	lateSequence = 20
-	// maxEntries and maxTargets keep a heartbeat inside a datagram.
+	// establishedSequence is the sequence number above which an incarnation whose first
+	// heartbeat arrives is treated as one that has been running for long.
+	establishedSequence = 20
+	// maxEntries and maxTargets bound a heartbeat so that it fits a datagram.
 	maxEntries = 90
 	maxTargets = 60
 )
 
-// loop is the control loop. Its fields below the channels belong to its
+// loop is the control loop. The fields below contact are accessed only by its
 // goroutine.
 type loop struct {
 	daemon  *Daemon
 	tasks   chan func(*loop)
 	contact *contact.Contact
 
-	book        *exchange.Table
-	lastBeat    time.Time
-	nextBalance time.Time
-	// credit is what heartbeats may cost now, in bytes.
-	credit   float64
-	credited time.Time
-	// inFlight is each router's requests at targets.
+	counters      *exchange.Table
+	lastHeartbeat time.Time
+	nextBalance   time.Time
+	// credit is the number of bytes that heartbeats may use now; creditedAt is when it was last
+	// replenished.
+	credit     float64
+	creditedAt time.Time
+	// inFlight has the requests that each other router has at targets, by the router's host.
 	inFlight map[string]dispatch.InFlight
-	// spent is the time spent by this loop.
-	spent time.Duration
-	// learning is set while a configuration is fetched from a peer.
-	learning bool
-	// levelled is set once the levels of a peer were taken.
-	levelled bool
+	// busyTime is the total time for which the loop has been working.
+	busyTime time.Duration
+	// fetchingConfig is set while a configuration is fetched from a peer.
+	fetchingConfig bool
+	// levelsFetched is set once the service levels of a peer were requested; it is cleared if
+	// that fails.
+	levelsFetched bool
 }
 
 func newLoop(d *Daemon) *loop {
 	return &loop{
 		daemon: d,
-		tasks:  make(chan func(*loop), inbox),
+		tasks:  make(chan func(*loop), taskQueueSize),
 		contact: contact.New(contact.Options{
 			Host: d.settings.Host, DataCentre: d.settings.DataCentre, Clock: d.clock, Log: d.log, Metrics: d.metrics,
 			Quarantine: d.quarantine, FailureTimeout: failureTimeout,
@@ -78,13 +82,13 @@
 			Control: func() netip.AddrPort { return d.control.Address() },
 			Peer:    func() netip.AddrPort { return d.transport.Address() },
 		}),
-		book:     exchange.New(exchange.Options{Repeats: 2, Rotate: 4, MaxEntries: maxEntries}),
+		counters: exchange.New(exchange.Options{Repeats: 2, Rotate: 4, MaxEntries: maxEntries}),
 		inFlight: make(map[string]dispatch.InFlight),
 	}
 }
 
-// post has task run on the loop's goroutine; it is dropped if the inbox is
-// full, so tasks must be repeated by their nature.
+// post queues task to run on the loop's goroutine. The task is dropped if the queue is
+// full, so callers must post it again periodically.
 func (l *loop) post(task func(*loop)) {
 	select {
 	case l.tasks <- task:
@@ -93,44 +97,44 @@
 }
 
 func (l *loop) run(ctx context.Context) error {
-	tick := l.daemon.clock.NewTicker(tickPeriod)
+	tick := l.daemon.clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case r := <-l.contact.Heartbeats():
-			l.spend(func() { l.hear(ctx, r) })
+			l.measure(func() { l.handleHeartbeat(ctx, r) })
 		case task := <-l.tasks:
-			l.spend(func() { task(l) })
+			l.measure(func() { task(l) })
 		case <-l.daemon.quarantine.Changed():
-			l.spend(func() { l.credit -= float64(l.contact.SendSuspects(l.destinations()...)) })
+			l.measure(func() { l.credit -= float64(l.contact.SendSuspects(l.destinations()...)) })
 		case <-tick.Chan():
-			l.spend(func() { l.tick(ctx) })
+			l.measure(func() { l.tick(ctx) })
 		}
 	}
 }
 
-// spend does work and adds its time to what control costs.
-func (l *loop) spend(work func()) {
+// measure runs work and adds its duration to busyTime, which is reported as the cost of control.
+func (l *loop) measure(work func()) {
 	started := l.daemon.clock.Now()
 	work()
-	l.spent += l.daemon.clock.Since(started)
+	l.busyTime += l.daemon.clock.Since(started)
 }
 
-// hear takes a heartbeat of another router.
-func (l *loop) hear(ctx context.Context, r contact.Received) {
-	host, news := l.contact.HandleHeartbeat(r)
-	switch news {
+// handleHeartbeat processes a heartbeat of another router.
+func (l *loop) handleHeartbeat(ctx context.Context, r contact.Received) {
+	host, outcome := l.contact.HandleHeartbeat(r)
+	switch outcome {
 	case member.Ignored:
 		return
 	case member.Restarted:
 		_, known := l.inFlight[host.Name]
-		l.book.ResetHost(host.Name, !known && r.Heartbeat.Sequence > lateSequence)
+		l.counters.ResetHost(host.Name, !known && r.Heartbeat.Sequence > establishedSequence)
 	}
-	l.daemon.dispatcher.Observe(l.book.ApplyReports(host.Name, r.Heartbeat.Pools))
+	l.daemon.dispatcher.Observe(l.counters.ApplyReports(host.Name, r.Heartbeat.Pools))
 	l.inFlight[host.Name] = inFlight(r.Heartbeat)
-	l.learn(ctx, host)
+	l.fetchNewerConfig(ctx, host)
 }
 
 func inFlight(hb *zinccovev1.Heartbeat) dispatch.InFlight {
@@ -141,38 +145,40 @@
 	return at
 }
 
-// learn fetches the configuration of a peer that has a higher version.
-func (l *loop) learn(ctx context.Context, h *member.Host) {
-	if l.learning || !h.Control.IsValid() || h.ConfigVersion <= l.daemon.syncer.Current().Version() {
+// fetchNewerConfig fetches the configuration of a peer if its version is higher than that in
+// force, unless a fetch is already running.
+func (l *loop) fetchNewerConfig(ctx context.Context, h *member.Host) {
+	if l.fetchingConfig || !h.Control.IsValid() || h.ConfigVersion <= l.daemon.syncer.Current().Version() {
 		return
 	}
-	l.learning = true
+	l.fetchingConfig = true
 	addr, version := h.Control, h.ConfigVersion
 	l.daemon.group.Go(func() error {
 		err := l.daemon.syncer.Learn(ctx, addr, version)
 		if err != nil {
 			l.daemon.metrics.Inc(metric.PeerErrors)
 		}
-		l.tasks <- func(l *loop) { l.learning = false }
+		l.tasks <- func(l *loop) { l.fetchingConfig = false }
 		return nil
 	})
 }
 
-// takeLevels takes the service levels of a peer once after the start.
-func (l *loop) takeLevels(ctx context.Context) {
-	if l.levelled || l.daemon.syncer.Current() == nil {
+// fetchLevelsOnce fetches the service levels of one reachable peer after the start and
+// retries at a later tick if that fails.
+func (l *loop) fetchLevelsOnce(ctx context.Context) {
+	if l.levelsFetched || l.daemon.syncer.Current() == nil {
 		return
 	}
 	for _, h := range l.contact.Members.Hosts() {
 		if !h.Reachable || !h.Control.IsValid() {
 			continue
 		}
-		l.levelled = true
+		l.levelsFetched = true
 		addr := h.Control
 		l.daemon.group.Go(func() error {
 			if l.daemon.fetchLevels(ctx, addr) != nil {
 				l.daemon.metrics.Inc(metric.PeerErrors)
-				l.tasks <- func(l *loop) { l.levelled = false }
+				l.tasks <- func(l *loop) { l.levelsFetched = false }
 			}
 			return nil
 		})
@@ -180,9 +186,9 @@
 	}
 }
 
-// learnHosts takes the platform's list, which names routers and may name the
-// hosts of targets by the targets' names.
-func (l *loop) learnHosts(hosts []platform.Host) {
+// updateHosts applies the platform's list of hosts. The list has the routers and may also
+// have the hosts of targets, under the names of the targets.
+func (l *loop) updateHosts(hosts []platform.Host) {
 	leaving := make(map[string]bool)
 	for _, h := range hosts {
 		if h.State == platform.HostLeaving {
@@ -195,8 +201,8 @@
 	l.daemon.dispatcher.SetLeaving(leaving)
 }
 
-// learnConfigured takes the hosts of the configuration in force.
-func (l *loop) learnConfigured() {
+// addConfiguredHosts adds the hosts of the configuration in force to the membership.
+func (l *loop) addConfiguredHosts() {
 	snap := l.daemon.syncer.Current()
 	if snap == nil {
 		return
@@ -206,7 +212,7 @@
 	}
 }
 
-// tick does what is due.
+// tick runs the periodic work of the loop that is due.
 func (l *loop) tick(ctx context.Context) {
 	now := l.daemon.clock.Now()
 	if d := l.contact.Suspended(); d > 0 {
@@ -216,40 +222,40 @@
 	}
 	l.expire()
 	l.balance(now)
-	l.takeLevels(ctx)
-	l.beatIfDue(now)
+	l.fetchLevelsOnce(ctx)
+	l.sendHeartbeatIfDue(now)
 	l.publish()
 }
 
-// balance computes the windows anew. Large fleets take longer, so the next
-// time is put off until it costs no more than its share of a core.
+// balance recomputes the windows. This takes longer in large fleets, so the next
+// computation is delayed until the average cost is at most maxBalanceShare of a core.
 func (l *loop) balance(now time.Time) {
 	if now.Before(l.nextBalance) {
 		return
 	}
 	l.daemon.dispatcher.Balance(l.view())
 	took := l.daemon.clock.Since(now)
-	l.nextBalance = now.Add(time.Duration(float64(took) / balanceShare))
+	l.nextBalance = now.Add(time.Duration(float64(took) / maxBalanceShare))
 }
 
-// balanceShare is the most of a core that computing windows may take.
-const balanceShare = 0.02
+// maxBalanceShare is the largest fraction of a core that computing the windows may use.
+const maxBalanceShare = 0.02
 
 func (l *loop) expire() {
-	gone, forgotten := l.contact.Expire(forgetAfter)
-	for _, h := range gone {
-		l.book.ClearDemand(h.Name)
+	failed, forgotten := l.contact.Expire(forgetAfter)
+	for _, h := range failed {
+		l.counters.ClearDemand(h.Name)
 		l.inFlight[h.Name] = nil
 	}
 	for _, h := range forgotten {
-		l.book.Forget(h.Name)
+		l.counters.Forget(h.Name)
 		delete(l.inFlight, h.Name)
 	}
 }
 
 func (l *loop) view() dispatch.View {
 	v := dispatch.View{
-		Demands: l.book.Demands(l.daemon.settings.Host), InFlight: l.others(), DataCentres: make(map[string]string), Routers: 1,
+		Demands: l.counters.Demands(l.daemon.settings.Host), InFlight: l.inFlightOfOthers(), DataCentres: make(map[string]string), Routers: 1,
 	}
 	for _, h := range l.contact.Members.Hosts() {
 		v.DataCentres[h.Name] = h.DataCentre
@@ -260,8 +266,8 @@
 	return v
 }
 
-// others returns the requests of the other routers at each target.
-func (l *loop) others() dispatch.InFlight {
+// inFlightOfOthers returns the sum of the requests of the other routers at each target.
+func (l *loop) inFlightOfOthers() dispatch.InFlight {
 	sum := make(dispatch.InFlight)
 	for _, at := range l.inFlight {
 		for number, n := range at {
@@ -271,43 +277,43 @@
 	return sum
 }
 
-// beatIfDue sends a heartbeat when one is due, or early when requests wait
+// sendHeartbeatIfDue sends a heartbeat when one is due, or earlier when requests wait
 // for a larger window, as far as the control budget allows.
-func (l *loop) beatIfDue(now time.Time) {
-	budget := float64(l.daemon.settings.ControlBytesPerSecond) * budgetUsed
-	since := now.Sub(l.lastBeat)
-	l.credit = min(l.credit+budget*now.Sub(l.credited).Seconds(), budget)
-	l.credited = now
-	due := since >= l.daemon.settings.HeartbeatInterval || since >= shortestBeat && l.daemon.dispatcher.Pressed()
+func (l *loop) sendHeartbeatIfDue(now time.Time) {
+	budget := float64(l.daemon.settings.ControlBytesPerSecond) * heartbeatBudgetShare
+	since := now.Sub(l.lastHeartbeat)
+	l.credit = min(l.credit+budget*now.Sub(l.creditedAt).Seconds(), budget)
+	l.creditedAt = now
+	due := since >= l.daemon.settings.HeartbeatInterval || since >= minHeartbeatInterval && l.daemon.dispatcher.Pressed()
 	if !due || l.credit <= 0 {
 		return
 	}
-	if !l.lastBeat.IsZero() {
-		l.contact.Members.SetTimeout(max(failureTimeout, missedBeats*since))
+	if !l.lastHeartbeat.IsZero() {
+		l.contact.Members.SetTimeout(max(failureTimeout, missedHeartbeats*since))
 	}
-	l.lastBeat = now
-	l.learnConfigured()
-	l.credit -= float64(l.beat())
+	l.lastHeartbeat = now
+	l.addConfiguredHosts()
+	l.credit -= float64(l.sendHeartbeat())
 }
 
 const (
-	// budgetUsed is the part of the control budget that heartbeats may use; the
+	// heartbeatBudgetShare is the fraction of the control budget that heartbeats may use; the
 	// rest is for calls between routers.
-	budgetUsed = 0.9
-	// shortestBeat is the shortest time between heartbeats.
-	shortestBeat = 100 * time.Millisecond
+	heartbeatBudgetShare = 0.9
+	// minHeartbeatInterval is the shortest time between heartbeats.
+	minHeartbeatInterval = 100 * time.Millisecond
 )
 
-// beat sends a heartbeat to every router and returns its cost in bytes.
-func (l *loop) beat() int {
+// sendHeartbeat sends a heartbeat to every router and returns its cost in bytes.
+func (l *loop) sendHeartbeat() int {
 	to := l.destinations()
 	sent, cost := l.contact.Send(l.heartbeat(), to...)
 	l.daemon.metrics.Add(metric.HeartbeatsSent, sent)
 	return cost + l.contact.SendSuspects(to...)
 }
 
-// destinations returns the addresses of all known routers and, while there are
-// none, the seeds.
+// destinations returns the addresses of all known routers and, while none of them is
+// reachable, the seeds as well.
 func (l *loop) destinations() []netip.AddrPort {
 	var to []netip.AddrPort
 	reachable := false
@@ -325,9 +331,9 @@
 
 func (l *loop) heartbeat() *zinccovev1.Heartbeat {
 	d := l.daemon
-	d.dispatcher.Counters(l.book.SetLocal)
+	d.dispatcher.Counters(l.counters.SetLocal)
 	hb := l.contact.NewHeartbeat(d.syncer.Current().Version(), d.stopping.Load())
-	hb.Pools = l.book.Report()
+	hb.Pools = l.counters.Report()
 	hb.Targets, hb.InFlight = busiest(d.dispatcher.OwnInFlight())
 	if hb.Sequence <= identifyEvery/2 || hb.Sequence%identifyEvery == 0 {
 		hb.Host = l.contact.Identity()
@@ -348,7 +354,7 @@
 	return targets, inFlight
 }
 
-// publish makes the status that operators read, and the gauges.
+// publish updates the status that operators read and the gauges.
 func (l *loop) publish() {
 	d := l.daemon
 	own := &zinccovev1.RouterStatus{ConfigVersion: d.syncer.Current().Version(), Leaving: d.stopping.Load()}
@@ -363,6 +369,6 @@
 	l.contact.Publish(own)
 	d.metrics.Set(metric.RequestsQueued, float64(queued))
 	d.metrics.Set(metric.RequestsRunning, float64(running))
-	d.metrics.Set(metric.ControlCPUSeconds, (l.spent + d.transport.Spent()).Seconds())
+	d.metrics.Set(metric.ControlCPUSeconds, (l.busyTime + d.transport.ProcessingTime()).Seconds())
 	d.metrics.Set(metric.HeartbeatsForged, float64(d.transport.Forged()))
 }
--- a/daemon/main.go
+++ b/daemon/main.go
@@ -38,7 +38,7 @@
 }
 
 // Main runs the command line of zinccoved and returns the exit code: 0 after a
-// planned stop, 1 after a failure, 2 for a wrong command line or settings.
+// graceful shutdown, 1 after a failure, 2 for an invalid command line or settings file.
 func Main(args []string, out, errOut io.Writer) int {
 	var cl commandLine
 	p := flags.NewParser(&cl, flags.HelpFlag)
@@ -59,7 +59,7 @@
 }
 
 func (cl *commandLine) run(out, errOut io.Writer) int {
-	// Steps of a request are milliseconds apart.
+	// The steps of a request are milliseconds apart, so timestamps need fractions of a second.
 	zerolog.TimeFieldFormat = time.RFC3339Nano
 	switch {
 	case cl.Version:
@@ -90,21 +90,22 @@
 	return serve(s, errOut)
 }
 
-// gcPercent trades memory for processor time: a router's live memory is small,
-// so at the default the collector runs many times a second under load.
+// gcPercent trades memory for CPU time: a router's live heap is small, so at the default
+// percentage the garbage collector runs many times a second under load.
 const gcPercent = 400
 
-// memoryPart is the part of the allowed memory at which the collector works
-// harder; the rest is for sockets and what is freed late. With 0.5 and 2,000
-// connections in 184 MB the collector took the processor, and streams stood still for
-// seconds; with 0.75 a flood left 5 MB of them.
-const memoryPart = 0.65
+// memoryLimitShare is the fraction of the allowed memory that is set as the runtime's memory
+// limit, near which the garbage collector runs more often. The rest is for sockets and memory
+// that is released late. With 0.5 and 2,000 connections in 184 MB, garbage collection used up
+// the CPU and streams stalled for seconds; with 0.75 a flood of requests left only 5 MB of the
+// 184 MB free.
+const memoryLimitShare = 0.65
 
-// serveRoutes runs a router of the platform's routes until a signal asks it to
-// stop.
+// serveRoutes runs a router that takes its routes from the platform's store, until a signal
+// stops it. On SIGHUP it logs that changed settings apply to the next start.
 func serveRoutes(s *settings.Settings, out io.Writer) int {
 	if s.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(s.Memory()) * memoryPart))
+		debug.SetMemoryLimit(int64(float64(s.Memory()) * memoryLimitShare))
 	}
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGINT, syscall.SIGTERM, syscall.SIGHUP)
@@ -126,7 +127,8 @@
 	return exitOK
 }
 
-// serve runs a router until a signal asks it to stop.
+// serve runs a router that takes its configuration from the platform or its peers, until a
+// signal stops it.
 func serve(s *settings.Settings, errOut io.Writer) int {
 	debug.SetGCPercent(gcPercent)
 	uuid.EnableRandPool()
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// orderPeriod is the time between looks at the targets that take orders.
-	orderPeriod = time.Second
-	// leaseTTL is how long a router may give orders after it wrote the lease.
+	// orderInterval is the time between two passes over the targets that take orders.
+	orderInterval = time.Second
+	// leaseTTL is how long a router may send orders after it wrote the lease.
 	leaseTTL = 6 * time.Second
-	// candidates is the number of routers of a data centre that ask for the
-	// lease, so that the reads do not grow with the routers.
-	candidates = 3
+	// maxCandidates is the number of routers of a data centre that compete for the lease;
+	// it keeps the reads of the store from growing with the number of routers.
+	maxCandidates = 3
 )
 
-// giveOrders keeps the targets of this data centre that take orders in the
-// declared state while this router holds the lease for it.
-func (d *Daemon) giveOrders(ctx context.Context) error {
+// runOrders keeps the targets of this data centre that take orders in the
+// declared state while this router holds the data centre's lease.
+func (d *Daemon) runOrders(ctx context.Context) error {
 	l := lease.New(lease.Options{
 		Table: d.platform.Table(), Clock: d.clock, Name: "orders/" + d.settings.DataCentre,
 		Holder: d.settings.Host + "/" + strconv.FormatUint(d.loop.contact.Incarnation, 16), TTL: leaseTTL, OrderTimeout: order.Timeout,
@@ -36,13 +36,13 @@
 			if err := l.Step(ctx); err != nil {
 				d.metrics.Inc(metric.PlatformErrors)
 			}
-			held = d.noteLease(l, held)
+			held = d.logLeaseChange(l, held)
 			d.countOrders(r.Reconcile(targets))
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-d.clock.After(jittered(orderPeriod)):
+		case <-d.clock.After(jittered(orderInterval)):
 		}
 	}
 }
@@ -57,8 +57,8 @@
 	})
 }
 
-// candidate reports whether this router is among the first of its data centre
-// that are reachable.
+// candidate reports whether this router is among the first maxCandidates reachable routers
+// of its data centre, in the order of their hosts' names, and is not stopping.
 func (d *Daemon) candidate() bool {
 	earlier := 0
 	for _, r := range d.loop.contact.Statuses() {
@@ -66,11 +66,11 @@
 			earlier++
 		}
 	}
-	return earlier < candidates && !d.stopping.Load()
+	return earlier < maxCandidates && !d.stopping.Load()
 }
 
-// noteLease logs when the lease is taken or lost.
-func (d *Daemon) noteLease(l *lease.Lease, held bool) bool {
+// logLeaseChange logs when the lease is acquired or lost and returns whether it is held now.
+func (d *Daemon) logLeaseChange(l *lease.Lease, held bool) bool {
 	number, now := l.Held()
 	if now != held {
 		d.log.Info().Uint64("number", number).Bool("held", now).Msg("lease for orders")
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -247,8 +247,8 @@
 	g.group.Go(func() error { return g.followTargets(ctx) })
 	g.group.Go(func() error { return g.followRouters(ctx) })
 	g.group.Go(func() error { return g.announce(ctx) })
-	keeper := quarantine.Persister{List: g.quarantine, Table: g.store.Table(), Clock: g.clock, Log: g.log, Metrics: g.metrics}
-	g.group.Go(func() error { return keeper.Run(ctx) })
+	persister := quarantine.Persister{List: g.quarantine, Table: g.store.Table(), Clock: g.clock, Log: g.log, Metrics: g.metrics}
+	g.group.Go(func() error { return persister.Run(ctx) })
 	g.log.Info().Stringer("caller", g.relay.Address()).Stringer("control", g.control.Address()).Stringer("peer", g.transport.Address()).
 		Stringer("platform", s.PlatformAddress).Str("data_centre", s.DataCentre).Float64("memory_mb", s.MemoryMB).Bool("first_start", s.FirstStart).Msg("started")
 	return nil
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,10 +1,10 @@
 // Package peer carries heartbeats between routers as authenticated datagrams.
 //
-// A datagram is a 16-byte HMAC-SHA256 prefix, keyed with the fleet key, and an
-// encoded Heartbeat. Datagrams with a wrong prefix are counted and dropped.
-// Loss, reordering and duplication are left to the receiver, which knows the
-// sequence numbers. Encryption is not provided: the messages hold numbers of
-// customers and counters, no keys and no contents.
+// A datagram is a 16-byte HMAC-SHA256 tag, keyed with the fleet key, followed by an
+// encoded Heartbeat. Datagrams with a wrong tag are counted and dropped.
+// Loss, reordering and duplication are handled by the receiver, by means of the
+// sequence numbers. Datagrams are not encrypted: they have numbers of customers and
+// counters, but no keys and no content of requests.
 //
 // # Usage
 //
@@ -42,10 +42,10 @@
 	// HeaderSize is the IPv4 and UDP header of a datagram in bytes; it counts
 	// against the control budget.
 	HeaderSize = 28
-	// MaxSize is the largest datagram sent, in bytes; it crosses common
-	// networks in one piece.
+	// MaxSize is the largest datagram sent, in bytes; common networks carry it
+	// without fragmentation.
 	MaxSize = 1400
-	// MaxBody is the largest encoded heartbeat.
+	// MaxBody is the largest encoded heartbeat, in bytes.
 	MaxBody = MaxSize - tagSize
 )
 
@@ -58,11 +58,11 @@
 	Clock   clockwork.Clock
 	// Key authenticates messages in both directions.
 	Key []byte
-	// Receive is called on the event loop with each authentic heartbeat, whom it comes
-	// from and its size on the wire in bytes. It must not block.
+	// Receive is called on the event loop with each authentic heartbeat, the address of its
+	// sender and its size on the wire in bytes. It must not block.
 	Receive func(hb *zinccovev1.Heartbeat, from netip.AddrPort, size int)
-	// Reachable tells which addresses heartbeats get to; nil is all. Proofs use
-	// it to cut networks.
+	// Reachable reports whether heartbeats reach an address; nil means that all
+	// addresses are reachable. Tests use it to simulate partitions.
 	Reachable func(netip.AddrPort) bool
 }
 
@@ -70,24 +70,24 @@
 type Transport struct {
 	gnet.BuiltinEventEngine
 
-	options Options
-	engine  gnet.Engine
-	booted  chan struct{}
-	socket  *net.UDPConn
-	group   errgroup.Group
-	forged  atomic.Uint64
-	spent   atomic.Int64
+	options        Options
+	engine         gnet.Engine
+	booted         chan struct{}
+	socket         *net.UDPConn
+	group          errgroup.Group
+	forged         atomic.Uint64
+	processingTime atomic.Int64
 }
 
-// stopTimeout bounds the stop of the event loop, which has nothing to flush.
+// stopTimeout bounds the wait for the event loop to stop; it has nothing to flush.
 const stopTimeout = 5 * time.Second
 
-// Listen opens the datagram socket. The port 0 picks a free port.
+// Listen opens the datagram socket. Port 0 selects a free port.
 func Listen(o Options) (*Transport, error) {
 	t := &Transport{options: o, booted: make(chan struct{})}
 	failed := make(chan error, 1)
 	t.group.Go(func() error {
-		err := gnet.Run(t, "udp://"+o.Address.String(), gnet.WithNumEventLoop(1), gnet.WithLogger(silent{}))
+		err := gnet.Run(t, "udp://"+o.Address.String(), gnet.WithNumEventLoop(1), gnet.WithLogger(discardLogger{}))
 		failed <- err
 		return err
 	})
@@ -109,8 +109,8 @@
 	return gnet.None
 }
 
-// openSocket makes a second handle of the listening socket, so that heartbeats
-// leave from the address they are expected from.
+// openSocket duplicates the listening socket, so that heartbeats are sent from the address
+// that peers know for this router.
 func (t *Transport) openSocket() error {
 	fd, err := t.engine.Dup()
 	if err != nil {
@@ -131,7 +131,7 @@
 // OnTraffic is called by gnet with each datagram.
 func (t *Transport) OnTraffic(c gnet.Conn) gnet.Action {
 	started := t.options.Clock.Now()
-	defer func() { t.spent.Add(int64(t.options.Clock.Since(started))) }()
+	defer func() { t.processingTime.Add(int64(t.options.Clock.Since(started))) }()
 	datagram, err := c.Next(-1)
 	if err != nil {
 		return gnet.None
@@ -154,15 +154,15 @@
 	return t.socket.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Spent returns the time spent on received datagrams.
-func (t *Transport) Spent() time.Duration { return time.Duration(t.spent.Load()) }
+// ProcessingTime returns the total time spent processing received datagrams.
+func (t *Transport) ProcessingTime() time.Duration { return time.Duration(t.processingTime.Load()) }
 
 // Forged returns the number of datagrams that were not authentic.
 func (t *Transport) Forged() uint64 { return t.forged.Load() }
 
 // Send sends a heartbeat to some routers. It returns its size on the wire in bytes,
-// headers included, the number of routers it left for, and the last error. It does
-// not wait for the receivers. The datagram is made once for all.
+// headers included, the number of routers it was sent to, and the last error. It does
+// not wait for the receivers. The datagram is encoded once for all of them.
 func (t *Transport) Send(hb *zinccovev1.Heartbeat, to ...netip.AddrPort) (size, sent int, err error) {
 	datagram, err := Seal(t.options.Key, hb)
 	if err != nil {
@@ -170,7 +170,7 @@
 	}
 	for _, addr := range to {
 		if t.options.Reachable != nil && !t.options.Reachable(addr) {
-			sent++ // lost on the way
+			sent++ // simulated loss in the network
 			continue
 		}
 		if _, werr := t.socket.WriteToUDPAddrPort(datagram, addr); werr != nil {
@@ -213,7 +213,7 @@
 // errForged means that a datagram was not made with the fleet key.
 var errForged = eris.New("datagram is not authentic")
 
-// Open checks and decodes a datagram.
+// Open verifies and decodes a datagram.
 func Open(key, datagram []byte) (*zinccovev1.Heartbeat, error) {
 	if len(datagram) < tagSize || len(datagram) > MaxSize {
 		return nil, errForged
@@ -234,13 +234,13 @@
 	return mac.Sum(nil)[:tagSize]
 }
 
-// silent drops gnet's log lines; its errors are returned.
-type silent struct{}
+// discardLogger discards gnet's log messages; its errors are returned.
+type discardLogger struct{}
 
-// The methods implement gnet's logger.
+// The methods implement gnet's logging.Logger.
 
-func (silent) Debugf(string, ...any) {}
-func (silent) Infof(string, ...any)  {}
-func (silent) Warnf(string, ...any)  {}
-func (silent) Errorf(string, ...any) {}
-func (silent) Fatalf(string, ...any) {}
+func (discardLogger) Debugf(string, ...any) {}
+func (discardLogger) Infof(string, ...any)  {}
+func (discardLogger) Warnf(string, ...any)  {}
+func (discardLogger) Errorf(string, ...any) {}
+func (discardLogger) Fatalf(string, ...any) {}
