--- a/collector/collector.go
+++ b/collector/collector.go
@@ -1,14 +1,15 @@
-// Package collector keeps the garbage of a process small beside what lives.
+// Package collector bounds the garbage on the heap of a process by a share of its memory.
 //
-// The runtime lets the heap grow by a part of what lives before it collects. A large part
-// saves processor time while little lives, but takes memory in proportion to all that a
-// router knows: with thousands of targets most of a small host's memory would be garbage. A
-// Tuner gives garbage a share of the memory in place of a part of what lives.
+// The runtime lets the heap grow by a percentage of the live heap before it collects. A high
+// percentage saves CPU time while the live heap is small, but uses memory in proportion to
+// the state of the router: with thousands of targets most of a small host's memory would be
+// garbage. A Tuner bounds garbage by a share of the memory instead of a percentage of the
+// live heap.
 //
 // # Usage
 //
 //	t := collector.New(memory)
-//	t.Adjust() // from time to time
+//	t.Adjust() // call periodically
 package collector
 
 import (
@@ -20,62 +21,63 @@
 const (
 	// garbageShare is the share of the memory that may be garbage.
 	garbageShare = 0.05
-	// usualGarbage is that of a process of unknown memory in bytes.
-	usualGarbage = 16 << 20
-	// leastPercent bounds how often a heap is collected that outgrows its share, mostPercent
-	// how much of a small heap may be garbage.
-	leastPercent, mostPercent = 40, 400
-	// leastHeap is what the runtime takes to live at least, in bytes.
-	leastHeap = 4 << 20
-	// tolerance is the change of the percentage that is not worth setting, as each one stops
-	// the process for a moment.
+	// defaultGarbage is the amount of garbage allowed if the memory is unknown, in bytes.
+	defaultGarbage = 16 << 20
+	// minPercent bounds how often a heap is collected that is large for its memory;
+	// maxPercent bounds the garbage beside a small live heap.
+	minPercent, maxPercent = 40, 400
+	// minHeap is the size that the runtime assumes for any smaller live heap, in bytes.
+	minHeap = 4 << 20
+	// tolerance is the relative change of the percentage up to which it is not set, because each
+	// setting briefly stops the process.
 	tolerance = 0.15
 )
 
-// liveMetric is what the last collection found to live in bytes.
+// liveMetric is the runtime metric of the live heap at the last collection, in bytes.
 const liveMetric = "/gc/heap/live:bytes"
 
-// Tuner sets how far the heap may grow. One goroutine uses it.
+// Tuner sets the garbage collector's percentage. It is not safe for concurrent use.
 type Tuner struct {
 	memory  int64
 	percent int
 	sample  [1]metrics.Sample
-	// set is the seam that tests replace.
-	set func(percent int)
+	// setPercent applies a percentage; tests replace it.
+	setPercent func(percent int)
 }
 
-// New returns a tuner for a process of so many bytes of memory, 0 if that is unknown, and
-// sets a first percentage.
+// New returns a tuner for a process with the given memory in bytes, 0 if that is unknown, and
+// sets an initial percentage.
 func New(memory int64) *Tuner { return newTuner(memory, func(p int) { debug.SetGCPercent(p) }) }
 
-func newTuner(memory int64, set func(int)) *Tuner {
-	t := &Tuner{memory: memory, percent: percentOf(leastHeap, memory), set: set}
+func newTuner(memory int64, setPercent func(int)) *Tuner {
+	t := &Tuner{memory: memory, percent: gcPercent(minHeap, memory), setPercent: setPercent}
 	t.sample[0].Name = liveMetric
-	set(t.percent)
+	setPercent(t.percent)
 	return t
 }
 
-// Adjust sets the percentage for what lives now.
+// Adjust sets the percentage for the current live heap.
 func (t *Tuner) Adjust() {
 	metrics.Read(t.sample[:])
 	t.adjust(t.sample[0].Value.Uint64())
 }
 
 func (t *Tuner) adjust(live uint64) {
-	next := percentOf(live, t.memory)
+	next := gcPercent(live, t.memory)
 	if math.Abs(float64(next-t.percent)) <= tolerance*float64(t.percent) {
 		return
 	}
 	t.percent = next
-	t.set(next)
+	t.setPercent(next)
 }
 
-// percentOf is the growth, in percent of what lives, that keeps garbage in its share.
-func percentOf(live uint64, memory int64) int {
-	garbage := float64(usualGarbage)
+// gcPercent returns the growth, in percent of the live heap, that keeps garbage within its
+// share of the memory.
+func gcPercent(live uint64, memory int64) int {
+	garbage := float64(defaultGarbage)
 	if memory > 0 {
 		garbage = garbageShare * float64(memory)
 	}
-	heap := max(float64(live), leastHeap)
-	return int(min(max(100*garbage/heap, leastPercent), mostPercent))
+	heap := max(float64(live), minHeap)
+	return int(min(max(100*garbage/heap, minPercent), maxPercent))
 }
--- a/collector/collector_test.go
+++ b/collector/collector_test.go
@@ -8,20 +8,21 @@
 
 const mb = 1 << 20
 
-// TestGarbageKeepsItsShareWhateverLives has more and more live, as with more targets and
-// routers known: the heap grows by what lives, not by a multiple of it.
-func TestGarbageKeepsItsShareWhateverLives(t *testing.T) {
+// TestGarbageKeepsItsShare guards against garbage that grows with the live heap. The live heap
+// grows, as it does with the number of targets and routers: the total heap must grow by the
+// same amount, not by a multiple of it.
+func TestGarbageKeepsItsShare(t *testing.T) {
 	const memory = 184 * mb
 	for _, live := range []uint64{6 * mb, 10 * mb, 16 * mb, 20 * mb} {
-		garbage := float64(live) * float64(percentOf(live, memory)) / 100
+		garbage := float64(live) * float64(gcPercent(live, memory)) / 100
 		assert.Assert(t, garbage <= garbageShare*memory+1, "%d live, %.0f garbage", live, garbage)
 		assert.Assert(t, garbage >= 0.9*garbageShare*memory)
 	}
-	assert.Equal(t, percentOf(1*mb, memory), percentOf(leastHeap, memory), "the runtime takes it for 4 MB")
-	assert.Equal(t, percentOf(0, memory), percentOf(leastHeap, memory))
-	assert.Equal(t, percentOf(1*mb, 1000*mb), mostPercent)
-	assert.Equal(t, percentOf(100*mb, memory), leastPercent)
-	assert.Equal(t, percentOf(32*mb, 0), 50, "of unknown memory")
+	assert.Equal(t, gcPercent(1*mb, memory), gcPercent(minHeap, memory), "the runtime assumes 4 MB")
+	assert.Equal(t, gcPercent(0, memory), gcPercent(minHeap, memory))
+	assert.Equal(t, gcPercent(1*mb, 1000*mb), maxPercent)
+	assert.Equal(t, gcPercent(100*mb, memory), minPercent)
+	assert.Equal(t, gcPercent(32*mb, 0), 50, "unknown memory")
 }
 
 func TestSmallChangesAreNotSet(t *testing.T) {
