--- a/errs/errs.go
+++ b/errs/errs.go
@@ -1,5 +1,5 @@
-// Package errs makes errors that name the step and the peer at which they
-// arose.
+// Package errs provides errors that name the step that failed and the peer it
+// involved.
 //
 // # Usage
 //
@@ -7,8 +7,8 @@
 //		return errs.Wrap(err, "fetch configuration", peer.String())
 //	}
 //
-// Wrapped errors keep their chain, so errors.Is and errors.As see the cause.
-// The stack is kept by eris and printed by eris.ToString, never by Error.
+// Wrapped errors keep their chain, so errors.Is and errors.As find the cause.
+// eris records the stack; eris.ToString prints it, Error does not.
 package errs
 
 import (
@@ -17,18 +17,18 @@
 	"github.com/rotisserie/eris"
 )
 
-// Error is a failure of one step against one peer.
+// Error is the failure of one step, local or with one peer.
 type Error struct {
 	// Step is the operation that failed, in a few words.
 	Step string
-	// Peer is the address or name of the other side; empty for local steps.
+	// Peer is the address or name of the peer; empty for local steps.
 	Peer string
 
 	err error
 }
 
-// Wrap returns err with the step and peer at which it arose, or nil if err is
-// nil. An empty peer means the step was local.
+// Wrap returns err with the step that failed and its peer, or nil if err is
+// nil. An empty peer means that the step was local.
 func Wrap(err error, step, peer string) error {
 	if err == nil {
 		return nil
@@ -36,7 +36,7 @@
 	return &Error{Step: step, Peer: peer, err: eris.Wrap(err, step)}
 }
 
-// New returns an error with message msg that arose at step and peer.
+// New returns an error with message msg for a step that failed with peer.
 func New(msg, step, peer string) error {
 	return &Error{Step: step, Peer: peer, err: eris.New(msg)}
 }
--- a/httpc/httpc.go
+++ b/httpc/httpc.go
@@ -1,8 +1,8 @@
 // Package httpc makes HTTP clients that send each request exactly once.
 //
-// fasthttp's client repeats some requests by itself after a broken connection.
-// A router must decide that itself, so clients of this package never do: a
-// broken connection is returned as the error of that request.
+// fasthttp's client retries some requests automatically after a broken connection.
+// Whether to retry is the router's decision, so clients of this package never retry: a
+// broken connection is returned as the error of its request.
 //
 // # Usage
 //
@@ -22,25 +22,25 @@
 
 // Limits bound a client.
 type Limits struct {
-	// Conns is the number of connections at once.
+	// Conns is the maximum number of concurrent connections.
 	Conns int
-	// Body is the largest answer in bytes; 0 means no bound. Streamed answers
-	// are not bounded by it.
+	// Body is the maximum size of a response body in bytes; 0 means no limit. It does
+	// not apply to streamed responses.
 	Body int
-	// Stream makes the client hand over answers before they are complete.
+	// Stream makes the client return responses before their bodies are complete.
 	Stream bool
 	// Dial connects to an address; the default is plain TCP.
 	Dial Dial
-	// Idle is how long a connection without a request is kept.
+	// Idle is how long an idle connection is kept open.
 	Idle time.Duration
 }
 
-// Dial connects to an address within a timeout. Proofs replace it to cut
-// networks.
+// Dial connects to an address within a timeout. Tests replace it to simulate
+// partitions.
 type Dial func(addr string, timeout time.Duration) (net.Conn, error)
 
-// dialTimeout bounds connecting to an address, which on a working network
-// takes milliseconds.
+// dialTimeout bounds connecting to an address, which takes milliseconds in a working
+// network.
 const dialTimeout = time.Second
 
 // New returns a client for one address.
@@ -66,7 +66,7 @@
 func neverRetry(*fasthttp.Request, int, error) (resetTimeout, retry bool) { return false, false }
 
 // NotSent reports whether err proves that no byte of the request reached the
-// other side, because there was no connection to send it on.
+// server, because there was no connection to send it on.
 func NotSent(err error) bool {
 	var op *net.OpError
 	if errors.As(err, &op) {
