--- a/control/auth.go
+++ b/control/auth.go
@@ -14,9 +14,9 @@
 	"zinccove.example/zinccove/settings"
 )
 
-// roles tells which role each call of the intent API needs. Calls that are not
-// listed are refused.
-var roles = map[string]settings.Role{
+// requiredRoles maps each call of the intent API to the role that it requires. Calls that are
+// not listed are rejected.
+var requiredRoles = map[string]settings.Role{
 	zinccovev1connect.IntentServicePlanProcedure:     settings.RolePlan,
 	zinccovev1connect.IntentServiceDiscardProcedure:  settings.RolePlan,
 	zinccovev1connect.IntentServiceConfirmProcedure:  settings.RoleConfirm,
@@ -29,7 +29,7 @@
 const bearer = "Bearer "
 
 // credential returns the Authorization header of an operator or, with an
-// empty name, of a router that knows the fleet key.
+// empty name, of a router, whose key is the fleet key.
 func credential(name, key string) string {
 	if name == "" {
 		return bearer + key
@@ -37,34 +37,34 @@
 	return bearer + name + ":" + key
 }
 
-// Authorize returns the option of a connect client that sends the credential
+// Authorize returns the option that makes a connect client send the credential
 // of an operator or, with an empty name, of a router.
 func Authorize(name, key string) connect.ClientOption {
-	return connect.WithInterceptors(sender{credential(name, key)})
+	return connect.WithInterceptors(credentialInterceptor{credential(name, key)})
 }
 
-// sender adds a credential to the calls of a client.
-type sender struct{ credential string }
+// credentialInterceptor adds a credential to the calls of a client.
+type credentialInterceptor struct{ credential string }
 
 // WrapUnary implements connect.Interceptor.
-func (s sender) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
+func (i credentialInterceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
-		req.Header().Set("Authorization", s.credential)
+		req.Header().Set("Authorization", i.credential)
 		return next(ctx, req)
 	}
 }
 
 // WrapStreamingClient implements connect.Interceptor.
-func (s sender) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
+func (i credentialInterceptor) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return func(ctx context.Context, spec connect.Spec) connect.StreamingClientConn {
 		conn := next(ctx, spec)
-		conn.RequestHeader().Set("Authorization", s.credential)
+		conn.RequestHeader().Set("Authorization", i.credential)
 		return conn
 	}
 }
 
 // WrapStreamingHandler implements connect.Interceptor.
-func (s sender) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
+func (i credentialInterceptor) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return next
 }
 
@@ -75,13 +75,13 @@
 
 type operatorKey struct{}
 
-// operatorOf returns the name that the call was authenticated with.
+// operatorOf returns the name of the operator that the call was authenticated as.
 func operatorOf(ctx context.Context) string {
 	name, _ := ctx.Value(operatorKey{}).(string)
 	return name
 }
 
-// authenticateOperator checks an operator's key and role before each call.
+// authenticateOperator checks the operator's key and role before each call.
 func (s *Server) authenticateOperator(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		op := s.operator(req.Header().Get("Authorization"))
@@ -89,15 +89,16 @@
 			s.options.WrongKey()
 			return nil, connect.NewError(connect.CodeUnauthenticated, errWrongKey)
 		}
-		if !slices.Contains(op.Roles, roles[req.Spec().Procedure]) {
+		if !slices.Contains(op.Roles, requiredRoles[req.Spec().Procedure]) {
 			return nil, connect.NewError(connect.CodePermissionDenied, errNoRole)
 		}
 		return next(context.WithValue(ctx, operatorKey{}, op.Name), req)
 	}
 }
 
-// operator returns the operator of a header, nil if there is none. Every
-// operator's digest is compared, so the time taken does not depend on names.
+// operator returns the operator that an Authorization header identifies, or nil if there is
+// none. The digests of all operators are compared, so that the time taken does not depend on
+// the name.
 func (s *Server) operator(header string) *settings.Operator {
 	name, key, _ := strings.Cut(strings.TrimPrefix(header, bearer), ":")
 	digest := []byte(config.Digest([]byte(key)))
@@ -112,13 +113,13 @@
 	return found
 }
 
-// routerCheck checks the fleet key before each call between routers.
-type routerCheck struct {
+// fleetKeyInterceptor checks the fleet key before each call between routers.
+type fleetKeyInterceptor struct {
 	want     []byte
 	wrongKey func()
 }
 
-func (c routerCheck) check(header string) error {
+func (c fleetKeyInterceptor) check(header string) error {
 	if subtle.ConstantTimeCompare([]byte(header), c.want) == 1 {
 		return nil
 	}
@@ -127,7 +128,7 @@
 }
 
 // WrapUnary implements connect.Interceptor.
-func (c routerCheck) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
+func (c fleetKeyInterceptor) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		if err := c.check(req.Header().Get("Authorization")); err != nil {
 			return nil, err
@@ -137,7 +138,7 @@
 }
 
 // WrapStreamingHandler implements connect.Interceptor.
-func (c routerCheck) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
+func (c fleetKeyInterceptor) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return func(ctx context.Context, conn connect.StreamingHandlerConn) error {
 		if err := c.check(conn.RequestHeader().Get("Authorization")); err != nil {
 			return err
@@ -147,6 +148,6 @@
 }
 
 // WrapStreamingClient implements connect.Interceptor.
-func (c routerCheck) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
+func (c fleetKeyInterceptor) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return next
 }
--- a/control/control.go
+++ b/control/control.go
@@ -10,8 +10,8 @@
 //
 // /zinccove.v1.IntentService/ and /zinccove.v1.PeerService/ are connect
 // services; see the proto files. /metrics is in Prometheus format. /healthz
-// answers 200 while the process runs. /readyz answers 200 while callers may be
-// sent here: there is a configuration and no planned stop.
+// returns 200 while the process runs. /readyz returns 200 while the load balancer may send
+// callers to this router: a configuration is in force and the router is not stopping.
 package control
 
 import (
@@ -39,28 +39,30 @@
 	Address   netip.AddrPort
 	FleetKey  string
 	Operators []settings.Operator
-	// Store keeps plans; nil where the configuration comes from elsewhere.
+	// Store stores plans; nil if the configuration has another source. Without it the intent
+	// API is not served.
 	Store  *intent.Store
 	Syncer *confsync.Syncer
-	// Config returns the configuration that peers are given, or nil.
+	// Config returns the configuration that peers fetch from this router, or nil if none is in
+	// force.
 	Config func() *zinccovev1.FetchConfigResponse
-	// Follow hands a table of the store on to a router until the call ends; nil where
-	// there is none.
+	// Follow forwards a table of the store to another router until the call ends; nil if
+	// this router follows no tables.
 	Follow func(context.Context, *zinccovev1.FollowTableRequest, func(*zinccovev1.FollowTableResponse) error) error
-	// Levels returns the service levels of all pools; nil where there are none.
+	// Levels returns the service levels of all pools; nil if there are none.
 	Levels func() []dispatch.PoolLevels
-	// Status returns what is known of all routers.
+	// Status returns the status of all known routers.
 	Status func() []*zinccovev1.RouterStatus
 	// Confirmed is called after a plan was confirmed through this router.
 	Confirmed func()
-	// Ready reports whether callers may be sent here.
+	// Ready reports whether the load balancer may send callers to this router.
 	Ready func() bool
 	// WrongKey counts a call with a wrong key.
 	WrongKey func()
 	Metrics  http.Handler
 }
 
-// Server serves until Close.
+// Server serves the control address until Close.
 type Server struct {
 	options  Options
 	listener net.Listener
@@ -68,7 +70,7 @@
 	group    errgroup.Group
 }
 
-// Bounds of the control address.
+// Limits of the control address. maxMessage is in bytes.
 const (
 	maxMessage    = 4 << 20
 	headerTimeout = 5 * time.Second
@@ -76,7 +78,7 @@
 	stopTimeout   = 5 * time.Second
 )
 
-// Listen starts to serve. The port 0 picks a free port.
+// Listen starts serving. Port 0 selects a free port.
 func Listen(o Options) (*Server, error) {
 	l, err := net.Listen("tcp", o.Address.String())
 	if err != nil {
@@ -91,7 +93,7 @@
 // Address returns the address the server listens on.
 func (s *Server) Address() netip.AddrPort { return s.listener.Addr().(*net.TCPAddr).AddrPort() }
 
-// Close ends all calls, waiting a short time for those that run.
+// Close stops the server. It waits up to stopTimeout for running calls.
 func (s *Server) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
@@ -106,7 +108,7 @@
 	mux := http.NewServeMux()
 	limit := connect.WithReadMaxBytes(maxMessage)
 	operators := connect.WithInterceptors(connect.UnaryInterceptorFunc(s.authenticateOperator))
-	routers := connect.WithInterceptors(routerCheck{want: []byte(credential("", s.options.FleetKey)), wrongKey: s.options.WrongKey})
+	routers := connect.WithInterceptors(fleetKeyInterceptor{want: []byte(credential("", s.options.FleetKey)), wrongKey: s.options.WrongKey})
 	if s.options.Store != nil {
 		mux.Handle(zinccovev1connect.NewIntentServiceHandler(&intentHandler{s}, limit, operators))
 	}
@@ -123,7 +125,7 @@
 	}
 }
 
-// peerHandler answers other routers.
+// peerHandler serves the PeerService to other routers.
 type peerHandler struct{ server *Server }
 
 // FetchConfig implements the PeerService.
--- a/control/intent.go
+++ b/control/intent.go
@@ -14,18 +14,18 @@
 )
 
 var (
-	errNoConfig = eris.New("no configuration is in force here")
-	errNoTables = eris.New("no tables of the store are followed here")
+	errNoConfig = eris.New("no configuration is in force at this router")
+	errNoTables = eris.New("this router follows no tables of the store")
 )
 
-// intentHandler answers operators.
+// intentHandler serves the IntentService to operators.
 type intentHandler struct{ server *Server }
 
-// maxAudit bounds the entries of one answer.
+// maxAudit is the largest number of entries in one response.
 const maxAudit = 1000
 
-// code maps the errors of package intent to connect's codes.
-func code(err error) connect.Code {
+// codeOf maps an error of package intent or platform to a connect code.
+func codeOf(err error) connect.Code {
 	var (
 		invalid  *config.InvalidError
 		conflict *intent.ConflictError
@@ -46,13 +46,13 @@
 	}
 }
 
-func failed(err error) error { return connect.NewError(code(err), err) }
+func connectError(err error) error { return connect.NewError(codeOf(err), err) }
 
 // Plan implements the IntentService.
 func (h *intentHandler) Plan(ctx context.Context, req *zinccovev1.PlanRequest) (*zinccovev1.PlanResponse, error) {
 	p, err := h.plan(ctx, req)
 	if err != nil {
-		return nil, failed(err)
+		return nil, connectError(err)
 	}
 	return &zinccovev1.PlanResponse{Plan: encodePlan(p)}, nil
 }
@@ -80,11 +80,11 @@
 func (h *intentHandler) Diff(ctx context.Context, req *zinccovev1.DiffRequest) (*zinccovev1.DiffResponse, error) {
 	from, err := h.server.options.Store.Version(ctx, req.From)
 	if err != nil {
-		return nil, failed(err)
+		return nil, connectError(err)
 	}
 	to, err := h.server.options.Store.Version(ctx, req.To)
 	if err != nil {
-		return nil, failed(err)
+		return nil, connectError(err)
 	}
 	resp := new(zinccovev1.DiffResponse)
 	for _, d := range config.Diff(from, to) {
@@ -110,7 +110,7 @@
 func (h *intentHandler) Confirm(ctx context.Context, req *zinccovev1.ConfirmRequest) (*zinccovev1.ConfirmResponse, error) {
 	version, err := h.server.options.Store.Confirm(ctx, operatorOf(ctx), req.PlanId)
 	if err != nil {
-		return nil, failed(err)
+		return nil, connectError(err)
 	}
 	h.server.options.Confirmed()
 	return &zinccovev1.ConfirmResponse{Version: version}, nil
@@ -119,7 +119,7 @@
 // Discard implements the IntentService.
 func (h *intentHandler) Discard(ctx context.Context, req *zinccovev1.DiscardRequest) (*zinccovev1.DiscardResponse, error) {
 	if err := h.server.options.Store.Discard(ctx, req.PlanId); err != nil {
-		return nil, failed(err)
+		return nil, connectError(err)
 	}
 	return new(zinccovev1.DiscardResponse), nil
 }
@@ -128,7 +128,7 @@
 func (h *intentHandler) ShowPlan(ctx context.Context, req *zinccovev1.ShowPlanRequest) (*zinccovev1.ShowPlanResponse, error) {
 	p, err := h.server.options.Store.Show(ctx, req.PlanId)
 	if err != nil {
-		return nil, failed(err)
+		return nil, connectError(err)
 	}
 	return &zinccovev1.ShowPlanResponse{Plan: encodePlan(p)}, nil
 }
@@ -142,7 +142,7 @@
 func (h *intentHandler) Audit(ctx context.Context, req *zinccovev1.AuditRequest) (*zinccovev1.AuditResponse, error) {
 	audits, err := h.server.options.Store.Audits(ctx, max(min(int(req.Limit), maxAudit), 1))
 	if err != nil {
-		return nil, failed(err)
+		return nil, connectError(err)
 	}
 	resp := new(zinccovev1.AuditResponse)
 	for _, a := range audits {
