--- a/ingress/completion.go
+++ b/ingress/completion.go
@@ -211,7 +211,7 @@
 	for {
 		c.writeEvent(w, &ev)
 		until := clock.Now().Add(c.server.options.Limits.WriteTimeout)
-		conn.SetWriteDeadline(bootclock.Steady(clock, until)) //nolint:errcheck // the write fails then
+		conn.SetWriteDeadline(bootclock.ToMonotonic(clock, until)) //nolint:errcheck // the write fails then
 		if err := w.Flush(); err != nil {
 			c.abort()
 			return
