--- a/control/intent.go
+++ b/control/intent.go
@@ -14,8 +14,8 @@
 )
 
 var (
-	errNoConfig = eris.New("no configuration is in force at this router")
-	errNoTables = eris.New("this router follows no tables of the store")
+	errNoConfig = eris.New("no configuration is in force here")
+	errNoTables = eris.New("no tables of the store are followed here")
 )
 
 // intentHandler serves the IntentService to operators.
