--- a/config/change.go
+++ b/config/change.go
@@ -7,17 +7,17 @@
 	"strings"
 )
 
-// Action is what a change does to its object.
+// Action is the operation that a change performs on its object.
 type Action string
 
-// The actions of a change.
+// The valid values of Change.Action.
 const (
 	ActionPut    Action = "put"
 	ActionRemove Action = "remove"
 )
 
-// Change declares or removes one object. For ActionPut exactly the field of
-// its kind is set; for ActionRemove Name is set.
+// Change creates, replaces or removes one object. For ActionPut, the field that
+// corresponds to Kind holds the object; for ActionRemove, Kind and Name identify it.
 type Change struct {
 	Action   Action    `json:"action"`
 	Kind     Kind      `json:"kind"`
@@ -29,7 +29,7 @@
 	Host     *Host     `json:"host,omitempty"`
 }
 
-// Object identifies a configured object across versions.
+// Object identifies a configured object by kind and name across versions.
 type Object struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
@@ -38,8 +38,8 @@
 // String returns the kind and the quoted name.
 func (o Object) String() string { return string(o.Kind) + ` "` + o.Name + `"` }
 
-// Put returns a change that declares obj, which is a Customer, Model, Service,
-// Target or Host.
+// Put returns a change that creates obj or replaces the object of the same kind
+// and name.
 func Put[T Customer | Model | Service | Target | Host](obj T) Change {
 	ch := Change{Action: ActionPut}
 	switch o := any(obj).(type) {
@@ -65,7 +65,8 @@
 // Object returns the identity of the changed object.
 func (ch *Change) Object() Object { return Object{Kind: ch.Kind, Name: ch.Name} }
 
-// DecodeChange parses the JSON form of a change. Unknown fields are errors.
+// DecodeChange parses the JSON encoding of a change. Unknown fields are rejected.
+// The error is an *InvalidError.
 func DecodeChange(body []byte) (Change, error) {
 	var ch Change
 	dec := json.NewDecoder(bytes.NewReader(body))
@@ -76,7 +77,7 @@
 	return ch, nil
 }
 
-// Apply returns the next version of c with the changes made in order. The
+// Apply returns the next version of c with the changes applied in order. The
 // error is an *InvalidError that names the offending field; c is not modified.
 func (c *Config) Apply(changes []Change) (*Config, error) {
 	if len(changes) == 0 {
@@ -155,7 +156,7 @@
 	return nil
 }
 
-// named is what all configured objects have in common.
+// named is implemented by pointers to all types of configured objects.
 type named[T any] interface {
 	*T
 	objectName() string
@@ -187,8 +188,8 @@
 	return slices.Delete(list, i, i+1), true
 }
 
-// putNamed inserts or replaces obj. A replaced object keeps its number; a new
-// one gets the next.
+// putNamed inserts obj or replaces the object of the same name. A replacement
+// keeps the number of its predecessor; a new object is assigned the next number.
 func putNamed[T any, P named[T]](c *Config, list []T, obj T) []T {
 	i, found := findNamed[T, P](list, P(&obj).objectName())
 	if found {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -11,7 +11,7 @@
 
 var addr = netip.MustParseAddrPort("127.0.0.1:9")
 
-func base(t *testing.T) *Config {
+func newTestConfig(t *testing.T) *Config {
 	t.Helper()
 	c, err := new(Config).Apply([]Change{
 		Put(Customer{Name: "school", Weight: 1, KeyDigests: []string{Digest([]byte("k"))}}),
@@ -24,9 +24,9 @@
 	return c
 }
 
-func TestApplyRefusesBrokenRules(t *testing.T) {
+func TestApplyRejectsInvalidChanges(t *testing.T) {
 	target := Target{Name: "e3", Serves: "m", ModelVersion: "v1", Address: addr, DataCentre: "dc", Slots: 1}
-	with := func(change func(*Target)) Change {
+	putModified := func(change func(*Target)) Change {
 		x := target
 		change(&x)
 		return Put(x)
@@ -43,12 +43,12 @@
 		{"model version", Put(Model{Name: "n"}), "model_version"},
 		{"service named as model", Put(Service{Name: "m"}), "name"},
 		{"call rule", Put(Service{Name: "x", Once: []CallRule{{Method: "POST", PathPrefix: "no"}}}), "once"},
-		{"serves", with(func(x *Target) { x.Serves = "none" }), "serves"},
-		{"target version", with(func(x *Target) { x.ModelVersion = "" }), "model_version"},
-		{"orders to a service", with(func(x *Target) { x.Serves, x.ModelVersion, x.TakesOrders = "s", "", true }), "takes_orders"},
-		{"address", with(func(x *Target) { x.Address = netip.AddrPort{} }), "address"},
-		{"data centre", with(func(x *Target) { x.DataCentre = "" }), "data_centre"},
-		{"slots", with(func(x *Target) { x.Slots = 0 }), "slots"},
+		{"serves", putModified(func(x *Target) { x.Serves = "none" }), "serves"},
+		{"target version", putModified(func(x *Target) { x.ModelVersion = "" }), "model_version"},
+		{"orders to a service", putModified(func(x *Target) { x.Serves, x.ModelVersion, x.TakesOrders = "s", "", true }), "takes_orders"},
+		{"address", putModified(func(x *Target) { x.Address = netip.AddrPort{} }), "address"},
+		{"data centre", putModified(func(x *Target) { x.DataCentre = "" }), "data_centre"},
+		{"slots", putModified(func(x *Target) { x.Slots = 0 }), "slots"},
 		{"host", Put(Host{Name: "h", DataCentre: "dc"}), "peer"},
 		{"remove unknown", Remove(KindCustomer, "nobody"), "name"},
 		{"remove used", Remove(KindModel, "m"), "serves"},
@@ -57,7 +57,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			c := base(t)
+			c := newTestConfig(t)
 			before, _ := c.Encode()
 			_, err := c.Apply([]Change{tc.ch})
 			var invalid *InvalidError
@@ -69,8 +69,8 @@
 	}
 }
 
-func TestNumbersAreNeverUsedTwice(t *testing.T) {
-	c := base(t)
+func TestNumbersAreNeverReused(t *testing.T) {
+	c := newTestConfig(t)
 	old := c.Customers[0].Number
 	c, err := c.Apply([]Change{Remove(KindCustomer, "school")})
 	assert.NilError(t, err)
@@ -83,8 +83,8 @@
 	assert.Equal(t, c.Customers[0].Number, kept)
 }
 
-func TestChangesToBringAVersionBack(t *testing.T) {
-	old := base(t)
+func TestChangesToRestoresVersion(t *testing.T) {
+	old := newTestConfig(t)
 	now, err := old.Apply([]Change{
 		Put(Customer{Name: "school", Weight: 9}),
 		Put(Customer{Name: "new", Weight: 1}),
@@ -109,7 +109,7 @@
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
-			c := base(t)
+			c := newTestConfig(t)
 			next, err := c.Apply([]Change{tc.ch})
 			assert.NilError(t, err)
 			assert.Equal(t, slices.Contains(Consequences(c, next), tc.want), tc.want != "")
@@ -117,8 +117,8 @@
 	}
 }
 
-func TestDecodeChecksTheDigest(t *testing.T) {
-	body, digest := base(t).Encode()
+func TestDecodeChecksDigest(t *testing.T) {
+	body, digest := newTestConfig(t).Encode()
 	_, err := Decode(body, digest)
 	assert.NilError(t, err)
 	body[len(body)-2] ^= 1
--- a/config/consequence.go
+++ b/config/consequence.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// Consequences lists, one line each, what a change takes away: slots of a
-// model or service that shrink, and customers or models left without service.
-// It is empty for changes that take nothing away.
+// Consequences returns warnings for operators about a change, one line each:
+// models and services that lose slots or have no eligible target, and customers
+// that have no key. Targets and keys that were already missing before the change
+// are reported too.
 func Consequences(from, to *Config) []string {
 	var lines []string
-	before, after := from.slots(), to.slots()
-	for _, name := range to.pools() {
+	before, after := from.eligibleSlots(), to.eligibleSlots()
+	for _, name := range to.servedNames() {
 		switch {
 		case after[name] == 0 && before[name] > 0:
 			lines = append(lines, fmt.Sprintf("%s is left without any target: its requests will be refused", name))
@@ -26,8 +27,8 @@
 	return lines
 }
 
-// pools returns the names of all models and services.
-func (c *Config) pools() []string {
+// servedNames returns the names of all models, followed by those of all services.
+func (c *Config) servedNames() []string {
 	var names []string
 	for i := range c.Models {
 		names = append(names, c.Models[i].Name)
@@ -38,8 +39,9 @@
 	return names
 }
 
-// slots returns the slots that can take new requests by model or service.
-func (c *Config) slots() map[string]uint32 {
+// eligibleSlots returns the number of slots of eligible targets by name of the
+// model or service.
+func (c *Config) eligibleSlots() map[string]uint32 {
 	slots := make(map[string]uint32)
 	for i := range c.Targets {
 		if t := &c.Targets[i]; c.Eligible(t) {
@@ -49,8 +51,9 @@
 	return slots
 }
 
-// Eligible reports whether a target may receive new requests: it is not
-// leaving, and a target of a model has the model's version loaded.
+// Eligible reports whether a target may receive new requests according to the
+// configuration: it is not draining, and the version of a target of a model equals
+// the model's version.
 func (c *Config) Eligible(t *Target) bool {
 	if t.Leaving {
 		return false
--- a/config/diff.go
+++ b/config/diff.go
@@ -5,15 +5,16 @@
 	"fmt"
 )
 
-// Difference is one object that differs between two versions.
+// Difference is one object that differs between two versions of the configuration.
 type Difference struct {
 	Object Object
 	// Text describes the difference in one line for operators.
 	Text string
 }
 
-// Diff lists the objects that differ from one version to another, by kind and
-// then by name.
+// Diff returns the objects that were added, removed or changed between two
+// versions, grouped by kind. Within a kind the removed objects precede the others;
+// both are sorted by name.
 func Diff(from, to *Config) []Difference {
 	var ds []Difference
 	ds = append(ds, diffNamed(KindCustomer, from.Customers, to.Customers)...)
@@ -54,7 +55,8 @@
 	return string(body)
 }
 
-// ChangesTo returns the changes that give from the objects of to.
+// ChangesTo returns the changes that, applied to from, produce the objects of to,
+// except that objects that it creates again receive new numbers.
 func ChangesTo(from, to *Config) []Change {
 	var chs []Change
 	for _, d := range Diff(from, to) {
@@ -63,8 +65,8 @@
 	return chs
 }
 
-// changeTo returns the change that makes an object what it is in c, which may
-// be nothing.
+// changeTo returns the change that restores an object to its state in c: it puts
+// the object, or removes it if c does not contain it.
 func changeTo(c *Config, o Object) Change {
 	switch o.Kind {
 	case KindCustomer:
--- a/config/validate.go
+++ b/config/validate.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// Ranges of configured values.
+// Limits of configured values. MaxNameLength is in bytes and applies to model
+// versions too; MaxKeys is the number of API keys of one customer.
 const (
 	MaxWeight     = 1000
 	MaxSlots      = 4096
@@ -15,14 +16,15 @@
 	MaxNameLength = 64
 )
 
-// InvalidError says which field of which object broke a rule.
+// InvalidError reports the field of an object that violates a rule. Object is empty
+// if the error concerns a whole request or configuration.
 type InvalidError struct {
 	Object Object
 	Field  string
 	Reason string
 }
 
-// Error returns the object, the field and the reason.
+// Error returns the object, if any, followed by the field and the reason.
 func (e *InvalidError) Error() string {
 	if e.Object.Kind == "" {
 		return e.Field + " " + e.Reason
@@ -73,8 +75,9 @@
 	return nil
 }
 
-// validDigests checks that each digest is well formed and that no two
-// customers share a key, which would let one be taken for the other.
+// validDigests checks that each digest is well formed and that no key is configured
+// twice: with a key shared by two customers, the caller could not be identified.
+// It adds the digests to owners, which maps each digest to its customer's name.
 func validDigests(o Object, digests []string, owners map[string]string) error {
 	for _, d := range digests {
 		if sum, err := hex.DecodeString(d); err != nil || len(sum) != 32 {
--- a/ingress/call.go
+++ b/ingress/call.go
@@ -24,7 +24,7 @@
 		s.end(ctx, r)
 		return
 	}
-	once := service.RunsOnce(string(ctx.Method()), path)
+	once := service.AtMostOnce(string(ctx.Method()), path)
 	f, r := s.newFlow(ctx, body, customer, service.Number, !once)
 	if r != nil {
 		s.end(ctx, r)
