--- a/cli/explain.go
+++ b/cli/explain.go
@@ -19,13 +19,13 @@
 	} `positional-args:"yes"`
 }
 
-// Execute reads all logs and prints the request's life.
+// Execute reads all logs and prints the request's timeline.
 func (c *explainCommand) Execute([]string) error {
-	life := explain.New(c.Args.Request)
-	if err := readLogs(c.Args.Files, life.Read); err != nil {
+	timeline := explain.NewTimeline(c.Args.Request)
+	if err := readLogs(c.Args.Files, timeline.Read); err != nil {
 		return err
 	}
-	return asUsage(life.Write(c.globals.out))
+	return asUsage(timeline.Write(c.globals.out))
 }
 
 // decisionsCommand sums up which requests were placed and refused.
--- a/explain/decisions_test.go
+++ b/explain/decisions_test.go
@@ -16,7 +16,7 @@
 {"host":"r1","request":"unknown","first_event_ms":85,"time":"2026-01-01T10:00:06Z","message":"stream answered"}
 `
 
-func TestDecisionsAreSummedUp(t *testing.T) {
+func TestDecisionsSummary(t *testing.T) {
 	d := NewDecisions()
 	assert.NilError(t, d.Read(strings.NewReader(decisionsLog)))
 	var out strings.Builder
--- a/explain/departures.go
+++ b/explain/departures.go
@@ -16,39 +16,42 @@
 	"zinccove.example/zinccove/revision"
 )
 
-// ErrNoDepartures means that no line tells of a target that left.
+// ErrNoDepartures means that the logs record no target that left.
 var ErrNoDepartures = eris.New("no line tells of a target that left")
 
-// Departures sums up how late routers knew that targets left, and which requests
-// were placed there after the drain. The time from which both are counted is that of
-// the first line of any router about it, so lateness that all routers share does
-// not show; unheard_ms of lines "store lost" tells of that.
+// Departures summarizes how late routers detected that targets drain or were removed,
+// and which requests were placed at such targets after the drain time. Both are measured
+// from the first log line of any router about the departure. A delay that all routers
+// share is therefore not visible here; the field unheard_ms of lines "store lost"
+// shows it.
 type Departures struct {
 	drain  time.Duration
 	reader reader
-	// lines are those that matter; they are looked at in the order of time.
+	// lines are the relevant lines; Write processes them in the order of time.
 	lines []line
-	// targets holds what is known of each target that has left so far.
+	// targets holds the departures by target, without those of targets that returned.
 	targets map[string]*departure
-	// placed holds when and where requests were placed, by target.
+	// placed holds the placements of requests by target.
 	placed map[string][]placement
 }
 
-// departure is what routers knew of one target that left.
+// departure records when routers detected that one target left.
 type departure struct {
 	first time.Time
-	// version is the newest at which the store told that the target left.
+	// revision is the newest revision of the store at which the target was draining or
+	// removed.
 	revision revision.Revision
-	// said is when the run started that said itself that it leaves; empty if it did not.
-	// Only an entry of another run tells that the target is back then.
-	said string
-	// hosts holds when each router took the target as leaving, and how it knew.
-	hosts map[string]knowledge
+	// announcedStart is the start time of the incarnation of the target that announced in
+	// a response that it is draining; it is empty if none did. If it is set, only an entry
+	// of another incarnation shows that the target returned.
+	announcedStart string
+	// detections holds the first detection of the departure by each router.
+	detections map[string]detection
 }
 
-type knowledge struct {
-	at  time.Time
-	way string
+type detection struct {
+	at     time.Time
+	source string
 }
 
 type placement struct {
@@ -56,13 +59,13 @@
 	host, request string
 }
 
-// NewDepartures returns an empty summary. Drain is the time after which a target
-// that leaves must get nothing new.
+// NewDepartures returns an empty summary. Drain is the time after the start of a
+// departure from which a target must receive no new requests.
 func NewDepartures(drain time.Duration) *Departures {
 	return &Departures{drain: drain, targets: make(map[string]*departure), placed: make(map[string][]placement)}
 }
 
-// Read takes the lines of a log.
+// Read adds the lines of a log to the summary.
 func (d *Departures) Read(r io.Reader) error {
 	return d.reader.read(r, func(x *line) {
 		if x.message == messagePlaced || strings.HasPrefix(x.message, "target") {
@@ -71,110 +74,112 @@
 	})
 }
 
-// The ways in which routers know.
+// The sources from which routers detect a departure, as Write prints them.
 const (
-	wayStore   = "store"
-	wayPeer    = "another router"
-	wayExpired = "entry did not come back"
-	wayAnswer  = "the target's answer"
+	sourceStore    = "store"
+	sourcePeer     = "another router"
+	sourceExpired  = "entry did not come back"
+	sourceResponse = "the target's answer"
 )
 
-func (d *Departures) take(x *line) {
+func (d *Departures) add(x *line) {
 	id := x.value("target")
 	switch x.message {
 	case messagePlaced:
 		d.placed[id] = append(d.placed[id], placement{at: x.at, host: x.host, request: x.request})
 	case "target entry":
 		if x.value("draining") == "true" {
-			d.know(id, x, wayStore)
+			d.recordDetection(id, x, sourceStore)
 			return
 		}
-		if t := d.targets[id]; t != nil && t.backBy(x) {
+		if t := d.targets[id]; t != nil && t.returnedBy(x) {
 			delete(d.targets, id)
 		}
 	case "target entry removed":
 		if x.value("gone") == "true" {
-			d.know(id, x, wayStore)
+			d.recordDetection(id, x, sourceStore)
 			return
 		}
-		d.leave(id, x)
+		d.recordDeparture(id, x)
 	case "target says that it leaves":
-		d.know(id, x, wayAnswer)
-		d.targets[id].said = x.value("started")
+		d.recordDetection(id, x, sourceResponse)
+		d.targets[id].announcedStart = x.value("started")
 	case "target is leaving, as another router says", "target says that it leaves, as another router heard":
-		d.know(id, x, wayPeer)
+		d.recordDetection(id, x, sourcePeer)
 	case "targets gone, their entries did not come back", "targets gone, their entries are missing":
 		for _, id := range strings.FieldsFunc(x.value("targets"), func(c rune) bool { return strings.ContainsRune(`[]",`, c) }) {
-			d.know(id, x, wayExpired)
+			d.recordDetection(id, x, sourceExpired)
 		}
 	}
 }
 
-// backBy reports whether an entry that does not say that the target leaves tells that it is
-// back.
-func (t *departure) backBy(entry *line) bool {
-	if t.said != "" {
-		return entry.value("started") != t.said
+// returnedBy reports whether an entry that is not draining shows that the target
+// returned.
+func (t *departure) returnedBy(entry *line) bool {
+	if t.announcedStart != "" {
+		return entry.value("started") != t.announcedStart
 	}
 	return t.revision.Before(entry.revision())
 }
 
-// revision is that of the store which the line tells.
+// revision returns the revision of the store that the line records.
 func (x *line) revision() revision.Revision {
 	return revision.Revision{Era: uint64(x.number("era")), Count: uint64(x.number("version"))}
 }
 
-// leave notes a line that tells that a target left, or may have.
-func (d *Departures) leave(id string, x *line) *departure {
+// recordDeparture records a line according to which a target left or may have left, and
+// returns its departure.
+func (d *Departures) recordDeparture(id string, x *line) *departure {
 	t := d.targets[id]
 	if t == nil {
-		t = &departure{first: x.at, hosts: make(map[string]knowledge)}
+		t = &departure{first: x.at, detections: make(map[string]detection)}
 		d.targets[id] = t
 	}
 	t.revision = revision.Later(t.revision, x.revision())
 	return t
 }
 
-// know notes that a router takes a target as leaving.
-func (d *Departures) know(id string, x *line, way string) {
-	t := d.leave(id, x)
-	if _, ok := t.hosts[x.host]; !ok {
-		t.hosts[x.host] = knowledge{at: x.at, way: way}
+// recordDetection records that a router considers a target draining or removed.
+func (d *Departures) recordDetection(id string, x *line, source string) {
+	t := d.recordDeparture(id, x)
+	if _, ok := t.detections[x.host]; !ok {
+		t.detections[x.host] = detection{at: x.at, source: source}
 	}
 }
 
-// latest returns the router that knew last, and what it knew.
-func (t *departure) latest() (string, knowledge) {
+// lastDetection returns the router that detected the departure last, and its detection.
+func (t *departure) lastDetection() (string, detection) {
 	var (
 		host string
-		last knowledge
+		last detection
 	)
-	for _, name := range slices.Sorted(maps.Keys(t.hosts)) {
-		if k := t.hosts[name]; k.at.After(last.at) {
-			host, last = name, k
+	for _, name := range slices.Sorted(maps.Keys(t.detections)) {
+		if det := t.detections[name]; det.at.After(last.at) {
+			host, last = name, det
 		}
 	}
 	return host, last
 }
 
-// late returns the requests that were placed at a target after the drain.
-func (d *Departures) late(id string) []placement {
+// placedLate returns the requests that were placed at a target after the drain time.
+func (d *Departures) placedLate(id string) []placement {
 	end := d.targets[id].first.Add(d.drain)
 	return slices.DeleteFunc(slices.Clone(d.placed[id]), func(p placement) bool { return !p.at.After(end) })
 }
 
-// Write prints the targets that left, the one known of last first.
+// Write prints the targets that left, sorted by the delay of the last router that
+// detected it, longest first.
 func (d *Departures) Write(out io.Writer) error {
-	byTime(d.lines)
+	sortByTime(d.lines)
 	for i := range d.lines {
-		d.take(&d.lines[i])
+		d.add(&d.lines[i])
 	}
 	d.lines = nil
 	if len(d.targets) == 0 {
 		return errs.Wrap(ErrNoDepartures, "sum up departures", "")
 	}
 	lateness := func(id string) time.Duration {
-		_, last := d.targets[id].latest()
+		_, last := d.targets[id].lastDetection()
 		return last.at.Sub(d.targets[id].first)
 	}
 	ids := slices.Sorted(maps.Keys(d.targets))
@@ -182,13 +187,13 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "target\tfirst known\tlast router after (s)\trouter\tway\tplaced later than %s\tfirst of them\n", d.drain)
 	for _, id := range ids {
-		host, last := d.targets[id].latest()
-		late := d.late(id)
+		host, last := d.targets[id].lastDetection()
+		late := d.placedLate(id)
 		request := ""
 		if len(late) > 0 {
 			request = late[0].request + " by " + late[0].host
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.2f\t%s\t%s\t%d\t%s\n", id, d.targets[id].first.Format(time.TimeOnly), lateness(id).Seconds(), host, last.way, len(late), request)
+		fmt.Fprintf(w, "%s\t%s\t%.2f\t%s\t%s\t%d\t%s\n", id, d.targets[id].first.Format(time.TimeOnly), lateness(id).Seconds(), host, last.source, len(late), request)
 	}
 	return errs.Wrap(w.Flush(), "write departures", "")
 }
--- a/explain/departures_test.go
+++ b/explain/departures_test.go
@@ -28,9 +28,9 @@
 {"host":"r1","target":"t6","version":9,"started":"2026-01-01T10:00:08Z","draining":false,"time":"2026-01-01T10:00:09Z","message":"target entry"}
 `
 
-func TestDeparturesTellWhoKnewLate(t *testing.T) {
+func TestDeparturesSummary(t *testing.T) {
 	d := NewDepartures(2 * time.Second)
-	// Logs come in any order.
+	// Logs may be read in any order.
 	lines := strings.SplitAfter(departuresLog, "\n")
 	slices.Reverse(lines)
 	for _, text := range lines {
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,29 +1,30 @@
-// Package explain tells from the logs of routers the life of one request, and why
-// requests were refused.
+// Package explain reconstructs from the logs of routers what happened to one request,
+// why requests were refused, and how late routers detected that targets left.
 //
-// A Life puts the lines of the request in order over all hosts. Before them stands
-// what the routers that handled it believed at the time: the last line before the
-// request about the configuration, about the targets it was sent to, and about
-// what was lost or cut off. Lines of that kind that fall into the life of the
-// request stand among its own. Where lines of the request tell what it asks for, what
-// other tries of that met stands before it.
+// A Timeline prints the lines of the request from all hosts in order. They are
+// preceded by the state of the routers that handled it: the last line before the
+// request about the configuration, about the targets that it was sent to, and about
+// what they had lost or were cut off from, such as the store. Such lines that were
+// written while the request was handled are printed among its own. If lines of the
+// request contain a fingerprint of its content, the lines of other requests with the
+// same fingerprint are printed before it.
 //
 // # Usage
 //
-//	l := explain.New("9c41d07be2a35f68")
-//	err := l.Read(file) // any number of logs, in any order
-//	err = l.Write(os.Stdout) // ErrNotFound if no line names the request
+//	t := explain.NewTimeline("9c41d07be2a35f68")
+//	err := t.Read(file) // any number of logs, in any order
+//	err = t.Write(os.Stdout) // ErrNotFound if no line names the request
 //
-//	d := explain.NewDecisions() // who was placed and refused, see its comment
+//	d := explain.NewDecisions() // requests that were placed and refused
 //	err = d.Read(file)
 //	err = d.Write(os.Stdout)
 //
-//	e := explain.NewDepartures(2 * time.Second) // who knew late of targets that left
+//	e := explain.NewDepartures(2 * time.Second) // routers that detected late that targets left
 //
 // # Limits
 //
-// Lines are ordered by the clocks of the hosts, which may differ. Lines that
-// are not JSON are passed over; text before the JSON of a line is ignored.
+// Lines are ordered by the clocks of the hosts, which may differ. Lines without a JSON
+// object are skipped; text before the JSON object of a line is ignored.
 package explain
 
 import (
@@ -41,54 +42,56 @@
 	"zinccove.example/zinccove/errs"
 )
 
-// ErrNotFound means that no line names the request.
+// ErrNotFound means that no log line contains the id of the request.
 var ErrNotFound = eris.New("no line names the request")
 
-// field is one value of a line.
+// field is one field of a log line.
 type field struct{ name, value string }
 
-// line is one line of a log.
+// line is one line of a router's log.
 type line struct {
 	at      time.Time
 	host    string
 	message string
 	request string
-	// subject is what a line without a request is about.
+	// subject is the target, table, peer or fingerprint that a line without a request
+	// concerns.
 	subject string
-	// fingerprint names what the request asks for, in lines that tell it.
+	// fingerprint identifies the content of a request; it is empty in lines without it.
 	fingerprint string
 	fields      []field
 }
 
-// Life collects the lines of one request.
-type Life struct {
+// Timeline collects the lines of one request and their context.
+type Timeline struct {
 	request string
 	own     []line
 	state   []line
-	// tries are lines of other requests that tell a fingerprint.
-	tries  []line
-	reader reader
+	// otherRequests are lines of other requests that contain a fingerprint.
+	otherRequests []line
+	reader        reader
 }
 
-// New returns an empty life of a request.
-func New(request string) *Life { return &Life{request: request} }
+// NewTimeline returns an empty timeline of the request with the given id.
+func NewTimeline(request string) *Timeline { return &Timeline{request: request} }
 
 const (
-	// maxLine is the longest line that is read in bytes.
+	// maxLine is the maximum length of a line in bytes.
 	maxLine = 1 << 20
-	// maxState bounds the lines without a request that are kept.
-	maxState = 200_000
+	// maxRetained bounds the lines without a request that are retained, and separately
+	// those of other requests.
+	maxRetained = 200_000
 )
 
-// Read takes the lines of a log.
-func (l *Life) Read(r io.Reader) error { return l.reader.read(r, l.take) }
+// Read adds the lines of a log to the timeline.
+func (t *Timeline) Read(r io.Reader) error { return t.reader.read(r, t.add) }
 
-// reader reads the lines that routers wrote.
+// reader parses the log lines of routers.
 type reader struct{ parser fastjson.Parser }
 
-// read hands the lines of a log to take. Lines that no router wrote are passed
-// over.
-func (d *reader) read(r io.Reader, take func(*line)) error {
+// read calls handle for each line of a log. Lines without a valid JSON object are
+// skipped, as they were not written by a router.
+func (rd *reader) read(r io.Reader, handle func(*line)) error {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLine)
 	for sc.Scan() {
@@ -96,16 +99,16 @@
 		if start < 0 {
 			continue
 		}
-		if x, err := d.parse(sc.Bytes()[start:]); err == nil {
-			take(x)
+		if x, err := rd.parse(sc.Bytes()[start:]); err == nil {
+			handle(x)
 		}
 	}
 	return errs.Wrap(sc.Err(), "read log", "")
 }
 
-// parse reads one line; an error means that no router wrote it.
-func (d *reader) parse(text []byte) (*line, error) {
-	v, err := d.parser.ParseBytes(text)
+// parse parses one line. It returns an error if the line is not a JSON object.
+func (rd *reader) parse(text []byte) (*line, error) {
+	v, err := rd.parser.ParseBytes(text)
 	if err != nil {
 		return nil, err
 	}
@@ -118,25 +121,25 @@
 	return x, nil
 }
 
-// subjects are the fields that say what a line without a request is about.
+// subjects are the fields that identify the subject of a line without a request.
 var subjects = []string{"target", "table", "peer", fieldFingerprint}
 
-// fieldFingerprint is the field that names what a request asks for.
+// fieldFingerprint is the field with the fingerprint of a request's content.
 const fieldFingerprint = "fingerprint"
 
-// take keeps a line if it may matter.
-func (l *Life) take(x *line) {
+// add retains a line if it may be relevant to the request.
+func (t *Timeline) add(x *line) {
 	switch {
-	case x.request == l.request:
-		l.own = append(l.own, *x)
-	case x.request == "" && len(l.state) < maxState:
-		l.state = append(l.state, *x)
-	case x.fingerprint != "" && len(l.tries) < maxState:
-		l.tries = append(l.tries, *x)
+	case x.request == t.request:
+		t.own = append(t.own, *x)
+	case x.request == "" && len(t.state) < maxRetained:
+		t.state = append(t.state, *x)
+	case x.fingerprint != "" && len(t.otherRequests) < maxRetained:
+		t.otherRequests = append(t.otherRequests, *x)
 	}
 }
 
-// set takes one value of a line.
+// set stores one field of a line.
 func (x *line) set(name string, v *fastjson.Value) {
 	value := v.String()
 	if v.Type() == fastjson.TypeString {
@@ -165,67 +168,69 @@
 	}
 }
 
-// Write prints the life of the request.
-func (l *Life) Write(out io.Writer) error {
-	if len(l.own) == 0 {
-		return errs.Wrap(ErrNotFound, "explain request "+l.request, "")
+// Write prints the timeline of the request.
+func (t *Timeline) Write(out io.Writer) error {
+	if len(t.own) == 0 {
+		return errs.Wrap(ErrNotFound, "explain request "+t.request, "")
 	}
-	byTime(l.own)
-	byTime(l.state)
-	before, during := l.context()
+	sortByTime(t.own)
+	sortByTime(t.state)
+	before, during := t.context()
 	fmt.Fprintln(out, "what the routers knew before:")
 	for _, x := range before {
-		x.write(out, l.own[0].at)
+		x.write(out, t.own[0].at)
 	}
-	if tries := l.sameContent(); len(tries) > 0 {
+	if others := t.sameContent(); len(others) > 0 {
 		fmt.Fprintln(out, "other tries of what it asks for:")
-		for _, x := range tries {
-			x.write(out, l.own[0].at)
+		for _, x := range others {
+			x.write(out, t.own[0].at)
 		}
 	}
-	fmt.Fprintln(out, "request", l.request+":")
-	life := slices.Concat(l.own, during)
-	byTime(life)
-	for _, x := range life {
-		x.write(out, l.own[0].at)
+	fmt.Fprintln(out, "request", t.request+":")
+	lines := slices.Concat(t.own, during)
+	sortByTime(lines)
+	for _, x := range lines {
+		x.write(out, t.own[0].at)
 	}
 	return nil
 }
 
-func byTime(lines []line) {
+func sortByTime(lines []line) {
 	slices.SortStableFunc(lines, func(a, b line) int { return a.at.Compare(b.at) })
 }
 
-// about names the host and matter that a line without a request is about. Only
-// the latest line on a matter counts: losing and regaining the same thing, or
-// writing and removing a target's entry, are one matter.
-func (x *line) about() string {
-	matter := x.message
+// stateKey identifies the piece of a host's state that a line without a request
+// describes, by host, topic and subject. Only the latest line of each key counts.
+// Losing and regaining the same thing, such as the store, share a topic, and so do writing and
+// removing the entry of a target.
+func (x *line) stateKey() string {
+	topic := x.message
 	for _, word := range []string{" lost", " regained"} {
-		matter = strings.TrimSuffix(matter, word)
+		topic = strings.TrimSuffix(topic, word)
 	}
 	for _, word := range []string{"target entry removed", "target entry"} {
-		if matter == word {
-			matter = "target"
+		if topic == word {
+			topic = "target"
 		}
 	}
-	return x.host + "/" + matter + "/" + x.subject
+	return x.host + "/" + topic + "/" + x.subject
 }
 
-// sameContent returns what other requests with the fingerprint of this one met.
-func (l *Life) sameContent() []line {
-	own := l.fingerprints()
-	tries := slices.DeleteFunc(slices.Clone(l.tries), func(x line) bool { return !own[x.fingerprint] })
-	byTime(tries)
-	for i := range tries {
-		tries[i].fields = append([]field{{"request", tries[i].request}}, tries[i].fields...)
+// sameContent returns the lines of other requests that have a fingerprint of this
+// request, in the order of time and with the id of their request.
+func (t *Timeline) sameContent() []line {
+	own := t.fingerprints()
+	others := slices.DeleteFunc(slices.Clone(t.otherRequests), func(x line) bool { return !own[x.fingerprint] })
+	sortByTime(others)
+	for i := range others {
+		others[i].fields = append([]field{{"request", others[i].request}}, others[i].fields...)
 	}
-	return tries
+	return others
 }
 
-func (l *Life) fingerprints() map[string]bool {
+func (t *Timeline) fingerprints() map[string]bool {
 	all := make(map[string]bool)
-	for _, x := range l.own {
+	for _, x := range t.own {
 		if x.fingerprint != "" {
 			all[x.fingerprint] = true
 		}
@@ -233,11 +238,11 @@
 	return all
 }
 
-// context returns the last line on each matter before the request, and all
-// lines during it, of the hosts that handled it.
-func (l *Life) context() (before, during []line) {
+// context returns the relevant lines without a request of the hosts that handled the
+// request: the last line of each state key before the request, and all lines during it.
+func (t *Timeline) context() (before, during []line) {
 	hosts, targets := make(map[string]bool), make(map[string]bool)
-	for _, x := range l.own {
+	for _, x := range t.own {
 		hosts[x.host] = true
 		for _, f := range x.fields {
 			if f.name == "target" {
@@ -245,18 +250,18 @@
 			}
 		}
 	}
-	asked := l.fingerprints()
+	own := t.fingerprints()
 	last := make(map[string]line)
-	for _, x := range l.state {
-		ofTarget := strings.HasPrefix(x.message, "target entry")
-		ofContent := x.fingerprint != "" && !asked[x.fingerprint]
-		if !hosts[x.host] || ofTarget && !targets[x.subject] || ofContent {
+	for _, x := range t.state {
+		aboutTarget := strings.HasPrefix(x.message, "target entry")
+		otherContent := x.fingerprint != "" && !own[x.fingerprint]
+		if !hosts[x.host] || aboutTarget && !targets[x.subject] || otherContent {
 			continue
 		}
 		switch {
-		case x.at.Before(l.own[0].at):
-			last[x.about()] = x
-		case !x.at.After(l.own[len(l.own)-1].at):
+		case x.at.Before(t.own[0].at):
+			last[x.stateKey()] = x
+		case !x.at.After(t.own[len(t.own)-1].at):
 			during = append(during, x)
 		}
 	}
@@ -267,7 +272,7 @@
 		if c := a.at.Compare(b.at); c != 0 {
 			return c
 		}
-		return strings.Compare(a.about(), b.about())
+		return strings.Compare(a.stateKey(), b.stateKey())
 	})
 	return before, during
 }
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -24,12 +24,12 @@
 {"level":"info","host":"r2","version":9,"time":"2026-01-01T10:00:01Z","message":"configuration in force"}
 `
 
-func TestLifeIsToldWithWhatWasKnown(t *testing.T) {
-	l := New("q")
-	assert.NilError(t, l.Read(strings.NewReader(log2)))
-	assert.NilError(t, l.Read(strings.NewReader(log1)))
+func TestTimelineIncludesPriorState(t *testing.T) {
+	timeline := NewTimeline("q")
+	assert.NilError(t, timeline.Read(strings.NewReader(log2)))
+	assert.NilError(t, timeline.Read(strings.NewReader(log1)))
 	var out strings.Builder
-	assert.NilError(t, l.Write(&out))
+	assert.NilError(t, timeline.Write(&out))
 	assert.Equal(t, out.String(), `what the routers knew before:
      -4.000s r1 configuration in force version=4
      -3.500s r1 target entry target=t1
@@ -41,9 +41,10 @@
 `)
 }
 
-// TestOtherTriesOfABarredRequestAreTold has a request refused because targets ended under
-// earlier tries, which had other ids and came to other routers.
-func TestOtherTriesOfABarredRequestAreTold(t *testing.T) {
+// TestTimelineIncludesAttemptsWithSameFingerprint checks a request that is refused because
+// targets terminated during earlier attempts with the same content. The attempts had other
+// ids and were sent to other routers, so only the fingerprint links them to the request.
+func TestTimelineIncludesAttemptsWithSameFingerprint(t *testing.T) {
 	const log = `
 {"level":"info","host":"r1","request":"a","target":"t1","failure":"broken","fingerprint":"f1","time":"2026-01-01T10:00:01Z","message":"attempt failed"}
 {"level":"info","host":"r2","request":"b","target":"t2","failure":"broken","fingerprint":"f1","time":"2026-01-01T10:00:02Z","message":"attempt failed"}
@@ -52,10 +53,10 @@
 {"level":"warn","host":"r1","fingerprint":"f2","peer":"p","time":"2026-01-01T10:00:02.1Z","message":"request barred, as another router says"}
 {"level":"info","host":"r1","request":"q","status":503,"reason":"ends_targets","fingerprint":"f1","time":"2026-01-01T10:00:03Z","message":"request refused"}
 `
-	l := New("q")
-	assert.NilError(t, l.Read(strings.NewReader(log)))
+	timeline := NewTimeline("q")
+	assert.NilError(t, timeline.Read(strings.NewReader(log)))
 	var out strings.Builder
-	assert.NilError(t, l.Write(&out))
+	assert.NilError(t, timeline.Write(&out))
 	assert.Equal(t, out.String(), `what the routers knew before:
      -0.900s r1 request barred, as another router says fingerprint=f1 peer=p
 other tries of what it asks for:
@@ -67,7 +68,7 @@
 }
 
 func TestUnknownRequestIsAnError(t *testing.T) {
-	l := New("none")
-	assert.NilError(t, l.Read(strings.NewReader(log1)))
-	assert.ErrorIs(t, l.Write(new(strings.Builder)), ErrNotFound)
+	timeline := NewTimeline("none")
+	assert.NilError(t, timeline.Read(strings.NewReader(log1)))
+	assert.ErrorIs(t, timeline.Write(new(strings.Builder)), ErrNotFound)
 }
