--- a/metric/metric.go
+++ b/metric/metric.go
@@ -1,8 +1,8 @@
 // Package metric holds the counters, gauges and histograms of a router.
 //
-// All metrics stand in the tables of names.go with their documentation, from
-// which Reference makes the page for operators. Metrics are counted by tally
-// and served in Prometheus format.
+// The tables in names.go define and document all metrics; Reference generates the
+// page for operators from them. Package tally aggregates the metrics, which are
+// served in Prometheus format.
 //
 // # Usage
 //
@@ -30,28 +30,28 @@
 	"zinccove.example/zinccove/errs"
 )
 
-// prefix starts the names of all metrics.
+// prefix is the first part of the name of every metric.
 const prefix = "zinccove"
 
-// Name returns the name of the counter on the page of metrics.
+// Name returns the name under which the counter is served.
 func (c Counter) Name() string { return prefix + prometheus.DefaultSeparator + counterTable[c].name }
 
-// Name returns the name of the gauge on the page of metrics.
+// Name returns the name under which the gauge is served.
 func (g Gauge) Name() string { return prefix + prometheus.DefaultSeparator + gaugeTable[g].name }
 
-// reportInterval is how often counts move from tally to the served page.
+// reportInterval is the interval at which tally reports its values to the served page.
 const reportInterval = time.Second
 
-// Metrics counts for one router until Close. It is safe for concurrent use.
+// Metrics records the metrics of one router until Close. It is safe for concurrent use.
 type Metrics struct {
 	reporter   prometheus.Reporter
 	closer     io.Closer
-	counters   [counters]tally.Counter
-	gauges     [gauges]tally.Gauge
-	histograms [histograms]tally.Histogram
+	counters   [numCounters]tally.Counter
+	gauges     [numGauges]tally.Gauge
+	histograms [numHistograms]tally.Histogram
 }
 
-// New returns metrics that all stand at zero.
+// New returns metrics that all start at zero.
 func New() (*Metrics, error) {
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
@@ -74,29 +74,29 @@
 	return m, nil
 }
 
-// buckets are the bounds of all histograms, 0.5 ms to about 4 minutes.
+// buckets are the bucket bounds of all histograms, from 0.5 ms to about 4 minutes.
 var buckets = tally.MustMakeExponentialDurationBuckets(500*time.Microsecond, 2, 20)
 
-// Close reports the last counts and stops.
+// Close reports the remaining values and stops the periodic reports.
 func (m *Metrics) Close() error { return errs.Wrap(m.closer.Close(), "close metrics", "") }
 
-// Handler serves the metrics in Prometheus format.
+// Handler returns the handler that serves the metrics in Prometheus format.
 func (m *Metrics) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Inc adds one to a counter.
+// Inc increments a counter by one.
 func (m *Metrics) Inc(c Counter) { m.counters[c].Inc(1) }
 
 // Add adds n to a counter.
 func (m *Metrics) Add(c Counter, n int) { m.counters[c].Inc(int64(n)) }
 
-// Set sets a gauge.
+// Set sets a gauge to v.
 func (m *Metrics) Set(g Gauge, v float64) { m.gauges[g].Update(v) }
 
-// Observe adds a duration to a histogram.
+// Observe records a duration in a histogram.
 func (m *Metrics) Observe(h Histogram, d time.Duration) { m.histograms[h].RecordDuration(d) }
 
-// Read parses a page of metrics and returns the values of counters and gauges
-// by name.
+// Read parses metrics in Prometheus text format and returns the values of counters and
+// gauges by name. Histograms are left out.
 func Read(page io.Reader) (map[string]float64, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	families, err := parser.TextToMetricFamilies(page)
@@ -117,7 +117,7 @@
 	return values, nil
 }
 
-// Reference returns the page that documents all metrics.
+// Reference returns the text of docs/metrics.md, which documents all metrics.
 func Reference() string {
 	var b strings.Builder
 	b.WriteString("# Metrics\n\nServed in Prometheus format at `/metrics` of the control address. ")
--- a/metric/metric_test.go
+++ b/metric/metric_test.go
@@ -46,7 +46,7 @@
 	assert.Assert(t, err != nil)
 }
 
-// TestReferenceIsCurrent holds the page in docs equal to the tables.
+// TestReferenceIsCurrent fails if the tables changed and docs/metrics.md was not regenerated.
 func TestReferenceIsCurrent(t *testing.T) {
 	body, err := os.ReadFile("../docs/metrics.md")
 	assert.NilError(t, err)
--- a/metric/names.go
+++ b/metric/names.go
@@ -1,15 +1,15 @@
 package metric
 
-// info names and documents one metric.
+// info is the name of a metric, without prefix, and its documentation.
 type info struct {
 	name string
 	doc  string
 }
 
-// Counter names a counter.
+// Counter identifies a counter.
 type Counter int
 
-// The counters.
+// The numCounters.
 const (
 	RequestsReceived Counter = iota
 	RequestsAnswered
@@ -51,10 +51,10 @@
 	Suspensions
 	NoticesLeaving
 	NoticesBackoff
-	counters
+	numCounters
 )
 
-var counterTable = [counters]info{
+var counterTable = [numCounters]info{
 	RequestsReceived:     {"requests_received", "Requests of callers that passed authentication."},
 	RequestsAnswered:     {"requests_answered", "Requests whose whole answer was handed over."},
 	RequestsNotRun:       {"requests_not_run", "Requests that ended with the outcome not_run, refusals included."},
@@ -97,10 +97,10 @@
 	HostsLost:            {"hosts_lost", "*alarm* Other routers that became unreachable."},
 }
 
-// Gauge names a gauge.
+// Gauge identifies a gauge.
 type Gauge int
 
-// The gauges.
+// The numGauges.
 const (
 	ConfigVersion Gauge = iota
 	HostsReachable
@@ -112,10 +112,10 @@
 	TargetsAge
 	SuspectsKnown
 	BarredKnown
-	gauges
+	numGauges
 )
 
-var gaugeTable = [gauges]info{
+var gaugeTable = [numGauges]info{
 	ConfigVersion:     {"config_version", "Version of the configuration in force here."},
 	HostsReachable:    {"hosts_reachable", "Other routers that are reachable."},
 	RequestsQueued:    {"requests_queued", "Requests waiting here."},
@@ -128,10 +128,10 @@
 	TargetsAge:        {"targets_age_seconds", "Time since the store last answered about the targets; a held feed makes some seconds."},
 }
 
-// Histogram names a histogram of durations.
+// Histogram identifies a histogram of durations.
 type Histogram int
 
-// The histograms.
+// The numHistograms.
 const (
 	QueueWait Histogram = iota
 	FirstToken
@@ -139,10 +139,10 @@
 	ProcessLag
 	PredictionError
 	AskTime
-	histograms
+	numHistograms
 )
 
-var histogramTable = [histograms]info{
+var histogramTable = [numHistograms]info{
 	QueueWait:       {"queue_wait", "Time from acceptance to the slot."},
 	FirstToken:      {"first_token", "Time from acceptance to the first output token."},
 	RequestTime:     {"request_time", "Time from acceptance to the end of the request."},
