--- a/settings/keys.go
+++ b/settings/keys.go
@@ -12,13 +12,13 @@
 	"github.com/rs/zerolog"
 )
 
-// key is one key of the settings file.
+// key defines one key of the settings file.
 type key struct {
 	section  string
 	name     string
 	def      string
 	required bool
-	// hidden values are not repeated in errors.
+	// hidden keeps the value, such as a secret, out of errors.
 	hidden bool
 	// allowed describes the values that set accepts.
 	allowed string
@@ -28,7 +28,7 @@
 
 var errNotAllowed = eris.New("value not allowed")
 
-// table is every key but those of operators, in the order of the reference.
+// table defines every key but those of operators, in the order of the annotated example.
 var table = []key{
 	text("host", "name", "Name of this host, unique in the fleet.", func(s *Settings) *string { return &s.Host }),
 	text("host", "data-centre", "Data centre of this host.", func(s *Settings) *string { return &s.DataCentre }),
@@ -92,7 +92,7 @@
 	return key{section: section, name: name, required: true, allowed: "1 to 64 bytes without spaces or slashes", doc: doc, set: set}
 }
 
-// minSecret is the fewest bytes of a secret.
+// minSecret is the minimum length of a secret in bytes.
 const minSecret = 16
 
 func secret(section, name, doc string, field func(*Settings) *string) key {
@@ -188,7 +188,7 @@
 	return key{section: section, name: name, def: string(def), allowed: "plans or store", doc: doc, set: set}
 }
 
-// flag is a key that is true or false, false by default.
+// flag returns a key whose value is true or false, false by default.
 func flag(section, name, doc string, field func(*Settings) *bool) key {
 	set := func(s *Settings, v string) error {
 		*field(s) = v == "true"
@@ -200,45 +200,45 @@
 	return key{section: section, name: name, def: "false", allowed: "true or false", doc: doc, set: set}
 }
 
-// decimal is a key for a quantity that platforms may state with a fraction.
-func decimal(section, name string, def, least, most float64, doc string, field func(*Settings) *float64) key {
+// decimal returns a key for a quantity that platforms may provide with a fraction.
+func decimal(section, name string, def, minimum, maximum float64, doc string, field func(*Settings) *float64) key {
 	set := func(s *Settings, v string) error {
 		n, err := strconv.ParseFloat(v, 64)
-		// The comparison is false for what is not a number.
-		if err != nil || !(n >= least && n <= most) {
+		// Both comparisons are false for NaN, which ParseFloat accepts.
+		if err != nil || !(n >= minimum && n <= maximum) {
 			return errNotAllowed
 		}
 		*field(s) = n
 		return nil
 	}
-	return key{section: section, name: name, def: plain(def), allowed: plain(least) + " to " + plain(most), doc: doc, set: set}
+	return key{section: section, name: name, def: formatDecimal(def), allowed: formatDecimal(minimum) + " to " + formatDecimal(maximum), doc: doc, set: set}
 }
 
-// plain writes a number without an exponent.
-func plain(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
+// formatDecimal writes a number without an exponent.
+func formatDecimal(n float64) string { return strconv.FormatFloat(n, 'f', -1, 64) }
 
-func number(section, name string, def, least, most int, doc string, field func(*Settings) *int) key {
+func number(section, name string, def, minimum, maximum int, doc string, field func(*Settings) *int) key {
 	set := func(s *Settings, v string) error {
 		n, err := strconv.Atoi(v)
-		if err != nil || n < least || n > most {
+		if err != nil || n < minimum || n > maximum {
 			return errNotAllowed
 		}
 		*field(s) = n
 		return nil
 	}
-	return key{section: section, name: name, def: strconv.Itoa(def), allowed: fmt.Sprintf("%d to %d", least, most), doc: doc, set: set}
+	return key{section: section, name: name, def: strconv.Itoa(def), allowed: fmt.Sprintf("%d to %d", minimum, maximum), doc: doc, set: set}
 }
 
-func duration(section, name string, def, least, most time.Duration, doc string, field func(*Settings) *time.Duration) key {
+func duration(section, name string, def, minimum, maximum time.Duration, doc string, field func(*Settings) *time.Duration) key {
 	set := func(s *Settings, v string) error {
 		d, err := time.ParseDuration(v)
-		if err != nil || d < least || d > most {
+		if err != nil || d < minimum || d > maximum {
 			return errNotAllowed
 		}
 		*field(s) = d
 		return nil
 	}
-	return key{section: section, name: name, def: def.String(), allowed: fmt.Sprintf("%s to %s", least, most), doc: doc, set: set}
+	return key{section: section, name: name, def: def.String(), allowed: fmt.Sprintf("%s to %s", minimum, maximum), doc: doc, set: set}
 }
 
 func level(section, name, doc string, field func(*Settings) *zerolog.Level) key {
--- a/settings/operator.go
+++ b/settings/operator.go
@@ -8,7 +8,7 @@
 	"gopkg.in/ini.v1"
 )
 
-// operatorPrefix starts the sections that declare operators.
+// operatorPrefix is the first part of the name of each section that declares an operator.
 const operatorPrefix = "operator."
 
 // Keys of an operator's section.
@@ -22,15 +22,15 @@
 	allowedRoles  = "some of read, plan and confirm, separated by commas"
 )
 
-func (p *parser) operators() {
+func (p *parser) parseOperators() {
 	for _, s := range p.ini.Sections() {
 		if name, ok := strings.CutPrefix(s.Name(), operatorPrefix); ok {
-			p.operator(s, name)
+			p.parseOperator(s, name)
 		}
 	}
 }
 
-func (p *parser) operator(s *ini.Section, name string) {
+func (p *parser) parseOperator(s *ini.Section, name string) {
 	if name == "" || strings.ContainsAny(name, " :") {
 		p.fail(s.Name(), "", "an operator's name must be set and have no spaces or colons")
 	}
--- a/settings/reference.go
+++ b/settings/reference.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// exampleValues fill the required keys of the annotated example.
+// exampleValues are the values of the required keys in the annotated example.
 var exampleValues = map[string]string{
 	"host.name":        "entry-1",
 	"host.data-centre": "innsbruck-1",
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,15 +1,15 @@
 // Package settings reads a router's settings from an INI file.
 //
-// The file is read once at start. Every key is checked; an unknown section or
+// The file is read once at start. Every key is validated; an unknown section or
 // key, a missing required key and a value out of range are errors that name
-// file, section and key. The keys, their ranges and their documentation stand
-// in one table in keys.go, from which Reference makes the annotated example.
+// file, section and key. One table in keys.go defines the keys, their ranges and
+// their documentation; Reference generates the annotated example from it.
 //
 // # Usage
 //
 //	s, err := settings.Load("zinccoved.ini")
 //	if err != nil {
-//		fmt.Fprintln(os.Stderr, err) // one line for each wrong key
+//		fmt.Fprintln(os.Stderr, err) // one line for each invalid key
 //	}
 package settings
 
@@ -26,29 +26,30 @@
 	"zinccove.example/zinccove/errs"
 )
 
-// Settings are the checked settings of one router.
+// Settings are the validated settings of one router.
 type Settings struct {
 	Host       string
 	DataCentre string
-	// Regions are those of all data centres by name.
+	// Regions maps the name of each data centre to its region.
 	Regions map[string]string
 
 	ListenCaller  netip.AddrPort
 	ListenControl netip.AddrPort
 	ListenPeer    netip.AddrPort
-	// ListenReady is not valid if the balancer asks the control address.
+	// ListenReady is the address of the balancer's readiness check. It is invalid if the
+	// balancer uses the control address instead.
 	ListenReady netip.AddrPort
 
 	RouteSource Source
 
 	FleetKey string
 	Seeds    []netip.AddrPort
-	// Contacts are hosts whose routers use the same datagram port.
+	// Contacts are hosts whose routers receive datagrams on the same port as this one.
 	Contacts []netip.Addr
-	// ControlBytesPerSecond bounds what the router sends to its peers.
+	// ControlBytesPerSecond limits what the router sends to its peers.
 	ControlBytesPerSecond int
 	HeartbeatInterval     time.Duration
-	// FirstStart tells that the whole fleet starts for the first time.
+	// FirstStart is set if the whole fleet starts for the first time.
 	FirstStart bool
 
 	PlatformAddress netip.AddrPort
@@ -62,27 +63,29 @@
 	MaxConnections int
 	QueueLimit     int
 	RequestTimeout time.Duration
-	// WriteTimeout is how long a caller may take no bytes of its answer.
+	// WriteTimeout limits how long a caller may read no bytes of its response.
 	WriteTimeout time.Duration
-	// StopDelay is the time between telling the balancer and stopping.
+	// StopDelay is the delay between reporting to the balancer that the router is not ready
+	// and stopping.
 	StopDelay   time.Duration
 	StopTimeout time.Duration
 
 	MemoryMB float64
 
-	// TargetDrain is the time after which a target that said that it leaves, or
-	// whose entry went, must get nothing new.
+	// TargetDrain is the time after which a target that announced its end, or whose
+	// entry was removed or expired, must receive no new requests.
 	TargetDrain time.Duration
-	// TargetHeartbeat is the time between two writes of a target's entry.
+	// TargetHeartbeat is the interval between two writes of a target's entry.
 	TargetHeartbeat time.Duration
 
-	// RetryRatio and RetrySlack bound the second attempts of all routers in a
+	// RetryRatio and RetrySlack limit the second attempts of all routers together within a
 	// RetryWindow.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
 
-	// ExposeShare is the part of a service's requests that a bad new version may get.
+	// ExposeShare is the largest share of a service's requests that a faulty new version
+	// may receive.
 	ExposeShare float64
 
 	DebtRequests int
@@ -92,27 +95,26 @@
 	Operators []Operator
 }
 
-// Memory is the memory of the process in bytes, 0 if it is left open.
+// Memory returns the memory of the process in bytes, or 0 if it is not set.
 func (s *Settings) Memory() int64 {
 	const bytesPerMB = 1 << 20
 	return int64(s.MemoryMB * bytesPerMB)
 }
 
-// Source is where the routing configuration comes from.
+// Source identifies where the routing configuration comes from.
 type Source string
 
 // The sources.
 const (
-	// SourcePlans: plans that operators confirm through the fleet.
+	// SourcePlans is the source of plans that operators confirm through the fleet.
 	SourcePlans Source = "plans"
-	// SourceStore: the configuration that operators write into the platform's
-	// store.
+	// SourceStore is the configuration that operators write into the platform's store.
 	SourceStore Source = "store"
 )
 
 var sources = []Source{SourcePlans, SourceStore}
 
-// Role is what an operator may do.
+// Role is a permission of an operator.
 type Role string
 
 // The roles. Each call of the intent API needs one of them.
@@ -130,7 +132,7 @@
 	Roles     []Role
 }
 
-// KeyError says what is wrong with one key of a settings file.
+// KeyError describes why a section or one key of a settings file is invalid.
 type KeyError struct {
 	File    string
 	Section string
@@ -138,7 +140,7 @@
 	Reason  string
 }
 
-// Error returns file, section, key and reason in one line.
+// Error returns file, section, key, if any, and reason in one line.
 func (e *KeyError) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("%s: [%s]: %s", e.File, e.Section, e.Reason)
@@ -146,10 +148,10 @@
 	return fmt.Sprintf("%s: [%s] %s: %s", e.File, e.Section, e.Key, e.Reason)
 }
 
-// Errors are all the wrong keys of a settings file.
+// Errors lists all invalid sections and keys of a settings file.
 type Errors []*KeyError
 
-// Error returns one line for each wrong key.
+// Error returns one line for each invalid section or key.
 func (es Errors) Error() string {
 	lines := make([]string, len(es))
 	for i, e := range es {
@@ -158,8 +160,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads and checks a settings file. The error is an Errors, or a file or
-// syntax error wrapped with the step.
+// Load reads and validates a settings file. The error is an Errors, or a file or
+// syntax error wrapped with the step that failed.
 func Load(path string) (*Settings, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
@@ -168,16 +170,16 @@
 	return Parse(path, body)
 }
 
-// Parse checks the text of a settings file; path is named in errors.
+// Parse parses and validates the text of a settings file. Errors name path as its file.
 func Parse(path string, body []byte) (*Settings, error) {
 	f, err := ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "=", SpaceBeforeInlineComment: true}, body)
 	if err != nil {
 		return nil, errs.Wrap(err, "parse settings "+path, "")
 	}
 	p := parser{file: path, ini: f, settings: &Settings{}}
-	p.unknown()
-	p.values()
-	p.operators()
+	p.rejectUnknown()
+	p.parseValues()
+	p.parseOperators()
 	if len(p.errors) > 0 {
 		return nil, p.errors
 	}
@@ -195,14 +197,14 @@
 	p.errors = append(p.errors, &KeyError{File: p.file, Section: section, Key: key, Reason: reason})
 }
 
-// unknown reports sections and keys that are not in the table.
-func (p *parser) unknown() {
+// rejectUnknown reports sections and keys that are not in the table.
+func (p *parser) rejectUnknown() {
 	for _, s := range p.ini.Sections() {
 		if strings.HasPrefix(s.Name(), operatorPrefix) {
 			continue
 		}
 		if s.Name() == ini.DefaultSection {
-			p.noKeys(s)
+			p.rejectKeys(s)
 			continue
 		}
 		known := keysOf(s.Name())
@@ -218,21 +220,21 @@
 	}
 }
 
-func (p *parser) noKeys(s *ini.Section) {
+func (p *parser) rejectKeys(s *ini.Section) {
 	for _, k := range s.KeyStrings() {
 		p.fail(s.Name(), k, "must stand in a section")
 	}
 }
 
-// values sets every key of the table from the file or its default.
-func (p *parser) values() {
+// parseValues sets every key of the table from the file or its default.
+func (p *parser) parseValues() {
 	for i := range table {
 		k := &table[i]
 		text := k.def
 		if s, err := p.ini.GetSection(k.section); err == nil && s.HasKey(k.name) {
 			text = s.Key(k.name).String()
 		}
-		// A template leaves a value empty that the platform does not state.
+		// A value in a template stays empty if the platform does not provide it.
 		if text == "" {
 			text = k.def
 		}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -18,7 +18,8 @@
 	assert.DeepEqual(t, s.Operators[0].Roles, []Role{RoleRead, RolePlan, RoleConfirm})
 }
 
-// TestExampleFileIsCurrent holds the file in docs equal to the table.
+// TestExampleFileIsCurrent fails if the table changed and docs/zinccoved.example.ini was
+// not regenerated.
 func TestExampleFileIsCurrent(t *testing.T) {
 	body, err := os.ReadFile("../docs/zinccoved.example.ini")
 	assert.NilError(t, err)
--- a/settings/template_test.go
+++ b/settings/template_test.go
@@ -10,11 +10,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// gap is a place in a template that a platform fills.
+// gap matches a placeholder in a template that a platform replaces by a value.
 var gap = regexp.MustCompile(`\{\{[^}]*\}\}`)
 
-// fill fills the template of deployments with values by their names, as a platform
-// does. The list of contacts is filled as one value.
+// fill replaces the placeholders of the deployment template by values, as a
+// platform does. The lists of seeds and of zones are each replaced by one value.
 func fill(t *testing.T, values map[string]string) string {
 	t.Helper()
 	body, err := os.ReadFile("../deploy/zinccoved.ini")
@@ -24,7 +24,8 @@
 	return gap.ReplaceAllStringFunc(text, func(g string) string { return values[strings.Trim(g, "{}")] })
 }
 
-// stated is what a platform states, all quantities as fractions.
+// stated returns the values that a platform provides; every quantity has a fraction,
+// because platforms may provide one.
 func stated() map[string]string {
 	return map[string]string{
 		"nodeName": "front-1", "zone": "hall-a", "zones": "hall-a:innsbruck,hall-b:innsbruck", "ip": "10.1.0.33", "portRange.0": "7400",
@@ -47,7 +48,8 @@
 	assert.DeepEqual(t, s.Regions, map[string]string{"hall-a": "innsbruck", "hall-b": "innsbruck"})
 }
 
-// TestTemplateTakesMissingValues leaves out what has a default.
+// TestTemplateTakesMissingValues guards against a template that is rejected when a platform
+// provides no value for a key that has a default.
 func TestTemplateTakesMissingValues(t *testing.T) {
 	values := stated()
 	for _, name := range []string{"limits.memoryMb", "bounds.retryRatio", "bounds.retrySlack"} {
