--- a/cli/apply.go
+++ b/cli/apply.go
@@ -11,15 +11,15 @@
 	"zinccove.example/zinccove/config"
 )
 
-// applyCommand plans all objects of an INI file as one change. Sections are
-// named KIND.NAME, keys as the flags of "KIND put". Objects that the file does
-// not name stay as they are.
+// applyCommand requests one plan for all objects of an INI file. Sections are
+// named KIND.NAME, and their keys are the flags of "KIND put". Objects that the file
+// does not name are left unchanged.
 type applyCommand struct {
 	command
 	File string `short:"f" long:"file" required:"yes" value-name:"FILE" description:"INI file of objects"`
 }
 
-// Execute plans the change.
+// Execute parses the file and requests the plan.
 func (c *applyCommand) Execute([]string) error {
 	f, err := ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "=", AllowShadows: true}, c.File)
 	if err != nil {
@@ -39,7 +39,8 @@
 	return c.plan(changes...)
 }
 
-// section reads the keys of one object and remembers the first error.
+// section reads the keys of one object. It records the keys that were read, to detect unknown
+// ones, and keeps the first error.
 type section struct {
 	ini  *ini.Section
 	name string
@@ -47,7 +48,7 @@
 	err  error
 }
 
-// objectParsers makes the change of each kind of section.
+// objectParsers maps each kind of section to the function that builds its change.
 var objectParsers = map[config.Kind]func(*section) config.Change{
 	config.KindCustomer: func(s *section) config.Change {
 		return config.Put(config.Customer{Name: s.name, Weight: s.number("weight"), KeyDigests: s.list("key-digest")})
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line of the operators' client.
+// Package cli implements zinccove, the command-line client for operators.
 //
 // # Usage
 //
@@ -6,14 +6,14 @@
 //	zinccove plan confirm ID
 //	zinccove status
 //
-// The router to ask, the operator's name and key come from flags or from the
+// The address of the router, the operator's name and the key are read from flags or from the
 // environment (ZINCCOVE_ROUTER, ZINCCOVE_OPERATOR, ZINCCOVE_KEY). With
 // --output json every command prints one JSON value.
 //
 // # Exit codes
 //
-// 0 done, 1 failed, 2 wrong command line or input, 3 conflict with another
-// change, 4 not reachable or the platform is down.
+// 0 success, 1 failure, 2 invalid command line or input, 3 conflict with another
+// change, 4 the router is unreachable or the platform is down.
 package cli
 
 import (
@@ -43,7 +43,7 @@
 	exitUnavailable = 4
 )
 
-// globals are the options of all commands.
+// globals holds the options that all commands accept, the output and the clock.
 type globals struct {
 	Router   string        `long:"router" env:"ZINCCOVE_ROUTER" value-name:"ADDRESS" description:"control address of any router"`
 	Operator string        `long:"operator" env:"ZINCCOVE_OPERATOR" value-name:"NAME" description:"operator's name"`
@@ -56,10 +56,10 @@
 	clock clockwork.Clock
 }
 
-// command is what all commands share.
+// command is embedded in each command and gives it the global options.
 type command struct{ globals *globals }
 
-// Main runs the command line and returns the exit code.
+// Main parses args, runs the command that they name and returns the exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	g := &globals{out: out, clock: clockwork.NewRealClock()}
 	p := flags.NewNamedParser("zinccove", flags.HelpFlag|flags.PassDoubleDash)
@@ -92,33 +92,33 @@
 	return exitOK
 }
 
-// entry is a command or a group of commands.
-type entry struct {
+// commandSpec describes a command, or a group of commands if sub is set.
+type commandSpec struct {
 	name, text string
 	data       any
-	sub        []entry
+	sub        []commandSpec
 }
 
-// commands is the tree of all commands.
-func commands(g *globals) []entry {
+// commands returns the tree of all commands.
+func commands(g *globals) []commandSpec {
 	c := command{g}
-	remove := func(kind config.Kind) entry {
-		return entry{name: "remove", text: "Plan to remove a " + string(kind), data: &removeCommand{command: c, kind: kind}}
+	remove := func(kind config.Kind) commandSpec {
+		return commandSpec{name: "remove", text: "Plan to remove a " + string(kind), data: &removeCommand{command: c, kind: kind}}
 	}
-	group := func(kind config.Kind, put any) entry {
-		return entry{name: string(kind), text: "Plan changes of a " + string(kind), data: new(struct{}), sub: []entry{
+	group := func(kind config.Kind, put any) commandSpec {
+		return commandSpec{name: string(kind), text: "Plan changes of a " + string(kind), data: new(struct{}), sub: []commandSpec{
 			{name: "put", text: "Plan to declare or change a " + string(kind), data: put},
 			remove(kind),
 		}}
 	}
-	return []entry{
+	return []commandSpec{
 		group(config.KindCustomer, &customerPut{command: c}),
 		group(config.KindModel, &modelPut{command: c}),
 		group(config.KindService, &servicePut{command: c}),
 		group(config.KindTarget, &targetPut{command: c}),
 		group(config.KindHost, &hostPut{command: c}),
 		{name: "apply", text: "Plan to reach the state that an INI file declares", data: &applyCommand{command: c}},
-		{name: "plan", text: "Show, confirm or discard a plan", data: new(struct{}), sub: []entry{
+		{name: "plan", text: "Show, confirm or discard a plan", data: new(struct{}), sub: []commandSpec{
 			{name: "show", text: "Show a plan", data: &planShow{command: c}},
 			{name: "confirm", text: "Put a plan in force", data: &planConfirm{command: c}},
 			{name: "discard", text: "End a plan that will not be confirmed", data: &planDiscard{command: c}},
@@ -134,7 +134,7 @@
 	}
 }
 
-func addCommands(parent *flags.Command, entries []entry) error {
+func addCommands(parent *flags.Command, entries []commandSpec) error {
 	for _, e := range entries {
 		c, err := parent.AddCommand(e.name, e.text, "", e.data)
 		if err != nil {
@@ -147,7 +147,7 @@
 	return nil
 }
 
-// client returns a client of the intent API and a context for one call.
+// client returns a client of the intent API and a context that bounds one call by the timeout option.
 func (g *globals) client() (zinccovev1connect.IntentServiceClient, context.Context, context.CancelFunc, error) {
 	if g.Router == "" || g.Operator == "" || g.Key == "" {
 		return nil, nil, nil, usageError{"--router, --operator and --key are required, or their environment variables"}
@@ -157,10 +157,10 @@
 	return c, ctx, cancel, nil
 }
 
-// usageError is a wrong command line or input.
+// usageError reports an invalid command line or input; the exit code is exitUsage.
 type usageError struct{ text string }
 
-// Error returns what is wrong.
+// Error implements error.
 func (e usageError) Error() string { return e.text }
 
 func message(err error) string {
--- a/cli/explain.go
+++ b/cli/explain.go
@@ -10,7 +10,7 @@
 	"zinccove.example/zinccove/explain"
 )
 
-// explainCommand tells the life of a request from logs.
+// explainCommand reconstructs the history of a request from logs.
 type explainCommand struct {
 	command
 	Args struct {
@@ -19,7 +19,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute reads all logs and prints the request's life.
+// Execute reads all logs and prints the history of the request.
 func (c *explainCommand) Execute([]string) error {
 	life := explain.New(c.Args.Request)
 	if err := readLogs(c.Args.Files, life.Read); err != nil {
@@ -28,7 +28,7 @@
 	return asUsage(life.Write(c.globals.out))
 }
 
-// decisionsCommand sums up which requests were placed and refused.
+// decisionsCommand summarizes which requests were placed and refused, and why.
 type decisionsCommand struct {
 	command
 	Args struct {
@@ -45,7 +45,7 @@
 	return asUsage(decisions.Write(c.globals.out))
 }
 
-// departuresCommand sums up how late routers knew of targets that left.
+// departuresCommand summarizes the delay with which routers learned that targets were draining.
 type departuresCommand struct {
 	command
 	Drain time.Duration `long:"drain" default:"2s" description:"time after which a target that leaves must get nothing new"`
@@ -63,8 +63,8 @@
 	return asUsage(departures.Write(c.globals.out))
 }
 
-// asUsage turns errors that say that the logs lack what was asked for into errors
-// of input.
+// asUsage converts the errors that mean that the logs lack the requested records into usage
+// errors. It returns other errors unchanged.
 func asUsage(err error) error {
 	if errors.Is(err, explain.ErrNotFound) || errors.Is(err, explain.ErrNoDecisions) || errors.Is(err, explain.ErrNoDepartures) {
 		return usageError{err.Error()}
@@ -72,7 +72,7 @@
 	return err
 }
 
-// readLogs hands all logs, or standard input, to read.
+// readLogs calls read for each named log, or for standard input if there are no names.
 func readLogs(names []string, read func(io.Reader) error) error {
 	if len(names) == 0 {
 		return read(os.Stdin)
@@ -90,6 +90,6 @@
 	if err != nil {
 		return errs.Wrap(err, "open log", "")
 	}
-	defer f.Close() //nolint:errcheck // nothing was written
+	defer f.Close() //nolint:errcheck // the file was only read
 	return read(f)
 }
--- a/cli/load.go
+++ b/cli/load.go
@@ -7,7 +7,7 @@
 	"zinccove.example/zinccove/load"
 )
 
-// loadCommand runs an experiment against a fleet on loopback.
+// loadCommand runs a load experiment against a fleet on loopback addresses.
 type loadCommand struct {
 	command
 	File string `short:"f" long:"file" required:"yes" value-name:"FILE" description:"experiment file (INI)"`
--- a/cli/plan.go
+++ b/cli/plan.go
@@ -8,7 +8,7 @@
 	zinccovev1 "zinccove.example/zinccove/gen/zinccove/v1"
 )
 
-// printJSON prints v as one line.
+// printJSON prints v as one line of JSON.
 func (g *globals) printJSON(v any) error {
 	return json.NewEncoder(g.out).Encode(v)
 }
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// planArg is the positional argument of commands on one plan.
+// planArg is the positional argument of commands that operate on one plan.
 type planArg struct {
 	Positional struct {
 		ID string `positional-arg-name:"ID" required:"yes"`
@@ -43,7 +43,7 @@
 	planArg
 }
 
-// Execute shows the plan.
+// Execute fetches the plan and prints it.
 func (c *planShow) Execute([]string) error {
 	client, ctx, cancel, err := c.globals.client()
 	if err != nil {
@@ -63,14 +63,14 @@
 	Wait time.Duration `long:"wait" value-name:"TIME" description:"wait until in force on all reachable routers, at most this long"`
 }
 
-// confirmation is the JSON of a confirmed plan.
+// confirmation is the JSON output for a confirmed plan.
 type confirmation struct {
 	Version uint64 `json:"version"`
-	// Behind are the routers that do not have the version in force yet.
+	// Behind lists the hosts whose routers do not have the version in force yet.
 	Behind []string `json:"behind,omitempty"`
 }
 
-// Execute confirms the plan.
+// Execute confirms the plan and, with --wait, waits until its version is in force.
 func (c *planConfirm) Execute([]string) error {
 	client, ctx, cancel, err := c.globals.client()
 	if err != nil {
@@ -98,11 +98,11 @@
 	return nil
 }
 
-// waitPeriod is the time between looks at the status.
-const waitPeriod = 100 * time.Millisecond
+// statusPollInterval is the pause between status requests of wait.
+const statusPollInterval = 100 * time.Millisecond
 
-// wait returns the routers that do not have version in force after the
-// waiting time.
+// wait polls the status until version is in force on all routers or the wait time has passed. It
+// returns the hosts whose routers still have an older version.
 func (c *planConfirm) wait(version uint64) ([]string, error) {
 	deadline := c.globals.clock.Now().Add(c.Wait)
 	for {
@@ -119,7 +119,7 @@
 		if len(behind) == 0 || c.globals.clock.Now().After(deadline) {
 			return behind, nil
 		}
-		c.globals.clock.Sleep(waitPeriod)
+		c.globals.clock.Sleep(statusPollInterval)
 	}
 }
 
--- a/cli/put.go
+++ b/cli/put.go
@@ -10,7 +10,7 @@
 	zinccovev1 "zinccove.example/zinccove/gen/zinccove/v1"
 )
 
-// nameArg is the positional argument of commands on one object.
+// nameArg is the positional argument of commands that operate on one object.
 type nameArg struct {
 	Positional struct {
 		Name string `positional-arg-name:"NAME" required:"yes"`
@@ -19,7 +19,7 @@
 
 func (n *nameArg) name() string { return n.Positional.Name }
 
-// plan asks for a plan of changes and prints it.
+// plan requests a plan of changes and prints it.
 func (c *command) plan(changes ...config.Change) error {
 	req := new(zinccovev1.PlanRequest)
 	for i := range changes {
@@ -52,7 +52,7 @@
 	KeyDigests []string `long:"key-digest" value-name:"SHA256" description:"hexadecimal SHA-256 digest of an API key; may be repeated"`
 }
 
-// Execute plans the change.
+// Execute requests the plan and prints it.
 func (c *customerPut) Execute([]string) error {
 	return c.plan(config.Put(config.Customer{Name: c.name(), Weight: c.Weight, KeyDigests: c.KeyDigests}))
 }
@@ -63,7 +63,7 @@
 	ModelVersion string `long:"model-version" required:"yes" description:"version that targets must serve"`
 }
 
-// Execute plans the change.
+// Execute requests the plan and prints it.
 func (c *modelPut) Execute([]string) error {
 	return c.plan(config.Put(config.Model{Name: c.name(), ModelVersion: c.ModelVersion}))
 }
@@ -74,7 +74,7 @@
 	Once []string `long:"once" value-name:"METHOD:/PATH" description:"calls that may not be repeated; METHOD can be *; may be repeated"`
 }
 
-// Execute plans the change.
+// Execute requests the plan and prints it.
 func (c *servicePut) Execute([]string) error {
 	rules, err := parseRules(c.Once)
 	if err != nil {
@@ -107,7 +107,7 @@
 	Leaving      bool   `long:"leaving" description:"the target receives no new requests"`
 }
 
-// Execute plans the change.
+// Execute requests the plan and prints it.
 func (c *targetPut) Execute([]string) error {
 	addr, err := parseAddress("address", c.Address)
 	if err != nil {
@@ -133,7 +133,7 @@
 	Leaving    bool   `long:"leaving" description:"the host is about to stop"`
 }
 
-// Execute plans the change.
+// Execute requests the plan and prints it.
 func (c *hostPut) Execute([]string) error {
 	addr, err := parseAddress("peer", c.Peer)
 	if err != nil {
@@ -148,5 +148,5 @@
 	kind config.Kind
 }
 
-// Execute plans the change.
+// Execute requests the plan and prints it.
 func (c *removeCommand) Execute([]string) error { return c.plan(config.Remove(c.kind, c.name())) }
--- a/cli/status.go
+++ b/cli/status.go
@@ -10,7 +10,7 @@
 
 type statusCommand struct{ command }
 
-// Execute shows the status.
+// Execute fetches the status of all routers and prints it.
 func (c *statusCommand) Execute([]string) error {
 	client, ctx, cancel, err := c.globals.client()
 	if err != nil {
@@ -27,8 +27,8 @@
 	return c.globals.printStatus(resp.Routers)
 }
 
-// printStatus prints a table of routers and one of the answering router's
-// pools.
+// printStatus prints a table of the routers and a table of the pools that the responding router
+// reported.
 func (g *globals) printStatus(routers []*zinccovev1.RouterStatus) error {
 	w := tabwriter.NewWriter(g.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "ROUTER\tDATA CENTRE\tVERSION\tSTATE\tSILENT")
@@ -64,7 +64,7 @@
 	Limit uint32 `long:"limit" default:"20" description:"most entries to list"`
 }
 
-// Execute lists the audit trail.
+// Execute fetches the audit trail and prints it.
 func (c *auditCommand) Execute([]string) error {
 	client, ctx, cancel, err := c.globals.client()
 	if err != nil {
--- a/cli/version.go
+++ b/cli/version.go
@@ -14,7 +14,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute lists the differences.
+// Execute fetches the differences of the two versions and prints them.
 func (c *diffCommand) Execute([]string) error {
 	client, ctx, cancel, err := c.globals.client()
 	if err != nil {
@@ -41,7 +41,7 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute plans the rollback.
+// Execute requests the plan of the rollback and prints it.
 func (c *rollbackCommand) Execute([]string) error {
 	if c.Positional.Version == 0 {
 		return usageError{"VERSION must be at least 1"}
