--- a/load/gap.go
+++ b/load/gap.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// gap is the largest difference of service between two customers.
+// gap is the largest difference in service per unit of weight between two customers, a and b.
 type gap struct {
 	tokens float64
 	a, b   int
 }
 
-// largestGap looks at each two customers over each longest run of points at
-// which both are backlogged.
+// largestGap returns the largest gap over all pairs of customers. A pair is compared over each
+// maximal run of consecutive points at which both customers are backlogged.
 func largestGap(series []point, customers int) gap {
 	var worst gap
 	for a := range customers {
@@ -22,7 +22,8 @@
 	return worst
 }
 
-// pairGap returns the largest change of the difference between a and b.
+// pairGap returns the largest change of the difference in service between a and b within one run
+// of points at which both are backlogged.
 func pairGap(series []point, a, b int) float64 {
 	worst := 0.0
 	low, high := math.Inf(1), math.Inf(-1)
--- a/load/load.go
+++ b/load/load.go
@@ -1,33 +1,34 @@
-// Package load sends the requests of many customers to a fleet and measures
-// what they get: the largest difference in service between customers that wait
-// at the same time, waits, times between tokens, refusals, and how busy the
-// targets are while work waits.
+// Package load generates the requests of many customers, sends them to a fleet and measures
+// the outcome: the largest difference in service between customers that are backlogged
+// at the same time, times to the first token and between tokens, refusals, and the utilization
+// of the targets while requests are waiting.
 //
 // # Usage
 //
 //	e, err := load.Parse("flood.ini", body)
 //	report, err := load.Run(ctx, e, clock)
-//	report.Write(os.Stdout)
+//	report.WriteText(os.Stdout)
 //
 // # Experiment files
 //
 // INI with [experiment] (duration, warm-up, seed), [fleet] (callers, control
 // addresses, engines, each separated by commas; slots of each engine) and one
-// [customer.NAME] for each group of equal customers. The keys stand in
-// parse.go. The same file and seed send the same requests; arrival times
-// follow the clock.
+// [customer.NAME] for each group of equal customers. Parse lists the keys.
+// The same file and seed produce the same requests; arrival times
+// depend on the clock.
 //
 // # How the gap is measured
 //
 // A customer counts as backlogged while one of its requests has waited longer
-// than backlogAge for its first token. For each two customers and each longest
-// time in which both are backlogged, the gap is the largest change of the
-// difference of their service per unit of weight. Service is counted where it
-// arrives: input tokens with the first token, output tokens one by one.
+// than backlogAge for its first token. For each pair of customers and each maximal
+// period in which both are backlogged, the gap is the largest change of the
+// difference in their service per unit of weight. Service is counted when the client
+// receives it: input tokens with the first token, output tokens one by one.
 //
 // # Limits
 //
-// Load goes to loopback addresses only, and ends by itself after the duration.
+// Requests are sent to loopback addresses only, and the load stops after the duration of the
+// experiment.
 package load
 
 import (
@@ -42,10 +43,11 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Experiment is a load and where it goes.
+// Experiment describes a load and the fleet that receives it.
 type Experiment struct {
 	Duration time.Duration
-	// WarmUp is left out of all measures.
+	// WarmUp is the time at the start of the experiment whose latencies, results and points are
+	// not recorded.
 	WarmUp    time.Duration
 	Seed      uint64
 	Callers   []netip.AddrPort
@@ -61,28 +63,29 @@
 	Key    string
 	Model  string
 	Weight float64
-	// Outstanding keeps so many requests sent and not answered; 0 turns it off.
+	// Outstanding is the number of requests kept in flight (closed loop); 0 disables this.
 	Outstanding int
-	// Think is the pause after an answer before the next request of the same
-	// place.
+	// Think is the minimum pause between the end of one of the Outstanding requests and the
+	// request that replaces it.
 	Think time.Duration
-	// Rate sends so many requests a second, at random times; 0 turns it off.
+	// Rate is the mean number of requests per second, sent at random times (open loop); 0 disables
+	// this.
 	Rate float64
-	// Routers are the indexes into Callers that requests go to, in turn at
-	// random.
+	// Routers holds indexes into Callers; each request is sent to one of them, drawn at random.
 	Routers []int
-	// Input and Output are the mean numbers of tokens.
+	// Input is the number of input tokens of each request, Output the mean number of output tokens.
 	Input, Output int
-	// Spread makes costs vary: each request's output is Output times a number
+	// Spread varies the cost: the number of output tokens of each request is Output times a factor
 	// drawn between 1-Spread and 1+Spread.
 	Spread float64
-	// Start and Stop bound the load inside the experiment.
+	// Start and Stop are the times since the start of the experiment between which requests are
+	// sent.
 	Start, Stop time.Duration
 	Urgent      bool
 	Timeout     time.Duration
 }
 
-// requestSpec is one request to send.
+// requestSpec describes one request to send.
 type requestSpec struct {
 	customer      int
 	router        int
@@ -90,7 +93,7 @@
 	number        int
 }
 
-// runner holds a running experiment.
+// runner holds the state of a running experiment.
 type runner struct {
 	experiment *Experiment
 	clock      clockwork.Clock
@@ -100,10 +103,10 @@
 	started    time.Time
 }
 
-// maxConns bounds the connections to each router.
+// maxConns limits the idle connections kept to each router.
 const maxConns = 4096
 
-// Run sends the load and measures it. It returns when the duration is over and
+// Run runs the experiment e and returns its report. It returns when the duration is over and
 // every request has ended or was cancelled.
 func Run(ctx context.Context, e *Experiment, clock clockwork.Clock) (*Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, e.Duration)
@@ -126,7 +129,7 @@
 	return r.recorder.report(), nil
 }
 
-// startCustomer starts the load of one customer.
+// startCustomer starts the load of customer i.
 func (r *runner) startCustomer(ctx context.Context, i int) {
 	c := &r.experiment.Customers[i]
 	draw := newDrawer(r.experiment, i)
@@ -144,7 +147,8 @@
 	}
 }
 
-// drawer draws a customer's requests.
+// drawer draws a customer's requests from a random source seeded by the experiment. It is safe for
+// concurrent use.
 type drawer struct {
 	customer int
 	spec     *Customer
@@ -172,7 +176,7 @@
 	}
 }
 
-// pause draws the time to the next arrival at a rate.
+// pause draws the time to the next request of a Poisson process with the customer's rate.
 func (d *drawer) pause() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -205,7 +209,7 @@
 
 func (r *runner) over(c *Customer) bool { return r.clock.Since(r.started) >= c.Stop }
 
-// sleep waits and reports whether the experiment goes on.
+// sleep waits for d. It returns false if the experiment ended before.
 func (r *runner) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
--- a/load/parse.go
+++ b/load/parse.go
@@ -11,13 +11,13 @@
 	"gopkg.in/ini.v1"
 )
 
-// customerPrefix starts the sections of customers.
+// customerPrefix is the prefix of the names of customer sections.
 const customerPrefix = "customer."
 
-// maxDuration bounds an experiment.
+// maxDuration limits the duration of an experiment.
 const maxDuration = 30 * time.Minute
 
-// Parse reads an experiment file; name is named in errors. Unknown keys are
+// Parse parses the experiment file body; errors contain name. Unknown keys are
 // errors.
 //
 // [experiment]: duration, warm-up, seed. [fleet]: callers, controls, engines,
@@ -80,7 +80,8 @@
 	return nil
 }
 
-// section reads keys and remembers the first error.
+// section reads the keys of one section. It records the keys that were read, to detect unknown
+// ones, and keeps the first error.
 type section struct {
 	file string
 	ini  *ini.Section
@@ -137,7 +138,7 @@
 	return strings.FieldsFunc(s.text(key, ""), func(r rune) bool { return r == ',' || r == ' ' })
 }
 
-// addresses reads addresses, which must be on loopback.
+// addresses reads a list of addresses, which must be loopback addresses.
 func (s *section) addresses(key string) []netip.AddrPort {
 	var addrs []netip.AddrPort
 	for _, text := range s.list(key) {
@@ -181,7 +182,7 @@
 	return repeat(c, count)
 }
 
-// repeat returns equal customers with numbered names and keys.
+// repeat returns count copies of c with numbered names and keys.
 func repeat(c Customer, count int) []Customer {
 	all := make([]Customer, count)
 	for i := range all {
--- a/load/record.go
+++ b/load/record.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// result is how a request ended.
+// result is the outcome of a request.
 type result int
 
 const (
@@ -18,7 +18,7 @@
 	results
 )
 
-// course is a request under way.
+// course records the progress of a request in flight.
 type course struct {
 	spec  requestSpec
 	sent  time.Time
@@ -26,7 +26,7 @@
 	first bool
 }
 
-// Histograms count in microseconds up to ten minutes.
+// Histograms record microseconds; times above ten minutes count as ten minutes.
 const (
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
@@ -37,10 +37,10 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(min(d.Microseconds(), histogramMax)) //nolint:errcheck // inside the bounds
+	h.RecordValue(min(d.Microseconds(), histogramMax)) //nolint:errcheck // min keeps the value within the range of the histogram
 }
 
-// customerRecord is what one customer got.
+// customerRecord holds the measurements of one customer.
 type customerRecord struct {
 	service  float64
 	waiting  map[*course]struct{}
@@ -53,7 +53,7 @@
 	largestCost  int
 }
 
-// recorder collects what requests get. It is safe for concurrent use.
+// recorder collects the measurements of all customers. It is safe for concurrent use.
 type recorder struct {
 	experiment *Experiment
 	started    time.Time
@@ -65,7 +65,7 @@
 	control   []controlRecord
 }
 
-// point is the state of all customers at one time.
+// point is a sample of the service and backlog of all customers.
 type point struct {
 	at         time.Duration
 	service    []float64
@@ -90,7 +90,7 @@
 	return c
 }
 
-// token records an output token; the first one also brings the input tokens.
+// token records an output token; the first one also counts the input tokens as service.
 func (r *recorder) token(c *course, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,10 +127,11 @@
 	}
 }
 
-// backlogAge is how long a request must have waited to count as backlog.
+// backlogAge is the time that a request must have waited for its first token to count as backlog.
 const backlogAge = 50 * time.Millisecond
 
-// take records the state of all customers and reports whether work waits.
+// take samples all customers and reports whether any of them is backlogged. Samples during the
+// warm-up are not kept.
 func (r *recorder) take(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,7 +159,7 @@
 	return false
 }
 
-// notePause keeps the longest time without service while backlogged.
+// notePause updates the longest time without service while backlogged.
 func (cu *customerRecord) notePause(backlogged, warm bool, now time.Time) {
 	if !backlogged || !warm || cu.lastGain.IsZero() {
 		cu.lastGain = now
--- a/load/report.go
+++ b/load/report.go
@@ -10,45 +10,46 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the result of an experiment. Times are in milliseconds.
+// Report holds the measurements of an experiment. Times are in milliseconds.
 type Report struct {
-	// GapTokens is the largest difference of service per unit of weight between
-	// two customers while both waited; GapRequests is the same as a multiple of
+	// GapTokens is the largest difference in service per unit of weight between
+	// two customers while both were backlogged; GapRequests is the same as a multiple of
 	// the largest request.
 	GapTokens   float64 `json:"gap_tokens"`
 	GapRequests float64 `json:"gap_requests"`
 	GapBetween  string  `json:"gap_between"`
 	// LargestRequest is the largest cost of an answered request in tokens.
 	LargestRequest int `json:"largest_request_tokens"`
-	// BusyShare is the part of the slots in use while work waited; 0 if none
-	// waited.
+	// BusyShare is the fraction of the slots in use while a customer was backlogged; 0 if none
+	// was.
 	BusyShare float64 `json:"busy_share"`
-	// MostInside is the largest number of requests seen waiting inside one
-	// engine.
+	// MostInside is the largest number of requests that one engine reported as waiting inside it
+	// while a customer was backlogged.
 	MostInside   int              `json:"most_waiting_inside"`
 	TokensPerSec float64          `json:"tokens_per_second"`
 	Control      ControlReport    `json:"control"`
 	Customers    []CustomerReport `json:"customers"`
-	// Series is the course of the service, for plots.
+	// Series is the service over time, for plots.
 	Series []SeriesPoint `json:"series"`
 }
 
-// SeriesPoint is the service per unit of weight of all customers at a time.
+// SeriesPoint is the service per unit of weight of all customers at one time.
 type SeriesPoint struct {
 	AtMS    float64   `json:"at_ms"`
 	Service []float64 `json:"service_per_weight"`
-	// Backlogged tells which customers had work waiting.
+	// Backlogged reports for each customer whether it was backlogged.
 	Backlogged []bool `json:"backlogged"`
 }
 
-// ControlReport is the largest spending of a router on control a second.
+// ControlReport is the control traffic, in bytes per second, and the CPU share that control used;
+// each is the maximum over the routers.
 type ControlReport struct {
 	SentBytes     float64 `json:"sent_bytes"`
 	ReceivedBytes float64 `json:"received_bytes"`
 	CPUShare      float64 `json:"cpu_share"`
 }
 
-// CustomerReport is what one customer got.
+// CustomerReport holds the measurements of one customer.
 type CustomerReport struct {
 	Name         string  `json:"name"`
 	Weight       float64 `json:"weight"`
@@ -63,7 +64,7 @@
 	LongestPause float64 `json:"longest_pause_ms"`
 }
 
-// seriesStep is the number of recorded points for each reported one.
+// seriesStep is the number of recorded points per reported point.
 const seriesStep = 5
 
 func (r *recorder) report() *Report {
--- a/load/sample.go
+++ b/load/sample.go
@@ -13,18 +13,19 @@
 	"zinccove.example/zinccove/metric"
 )
 
-// samplePeriod is the time between points of the series.
+// samplePeriod is the interval between points of the series.
 const samplePeriod = 50 * time.Millisecond
 
-// engineCounts are the totals that an engine stand-in reports.
+// engineCounts holds the step and slot totals and the number of waiting requests that an engine
+// stand-in reports.
 type engineCounts struct {
 	Steps     uint64 `json:"steps"`
 	BusySlots uint64 `json:"busy_slots"`
 	Waiting   int    `json:"waiting"`
 }
 
-// busyRecord sums the use of slots over samples at whose both ends work
-// waited.
+// busyRecord sums the use of slots over the intervals between samples; an interval counts only if
+// a customer was backlogged at both of its ends.
 type busyRecord struct {
 	busy, offered float64
 	mostInside    int
@@ -32,7 +33,8 @@
 	last          []engineCounts
 }
 
-// sample records points until the experiment ends.
+// sample records points until the experiment ends, and the control metrics of the routers at its
+// start and end.
 func (r *runner) sample(ctx context.Context) error {
 	r.recorder.controlStart(r.readControls())
 	tick := r.clock.NewTicker(samplePeriod)
@@ -84,7 +86,8 @@
 	b.waits, b.last = waits, now
 }
 
-// controlRecord is what a router spent on control, from its metrics.
+// controlRecord holds the bytes and CPU seconds that a router used for control, read from its
+// metrics.
 type controlRecord struct {
 	sent, received, cpu float64
 	at                  time.Time
@@ -107,7 +110,7 @@
 	return records
 }
 
-// metrics reads the plain counters and gauges of a router.
+// metrics reads the counters and gauges of a router, by name.
 func (r *runner) metrics(addr netip.AddrPort) (map[string]float64, error) {
 	resp, err := r.http.Get("http://" + addr.String() + "/metrics")
 	if err != nil {
@@ -126,8 +129,9 @@
 	r.control = records
 }
 
-// controlEnd turns the records into spending a second. Routers that were
-// restarted meanwhile are left out.
+// controlEnd replaces the records of the start by rates per second. It leaves out routers whose
+// metrics could not be read at both times, and routers whose sent bytes decreased, as they do after
+// a restart.
 func (r *recorder) controlEnd(records []controlRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/load/send.go
+++ b/load/send.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// body is the JSON of a request. OutputTokens tells stand-ins the true length
-// of the answer; real engines ignore it.
+// body is the JSON of a request. OutputTokens gives stand-ins the actual length
+// of the response; real engines ignore it.
 type body struct {
 	Model        string `json:"model"`
 	Prompt       string `json:"prompt"`
@@ -22,15 +22,15 @@
 	Stream       bool   `json:"stream"`
 }
 
-// hintTokens is the max_tokens of every request: callers do not know what
-// their requests cost.
+// hintTokens is the max_tokens of every request. It is the same for all because callers do not know
+// the cost of their requests.
 const hintTokens = 4096
 
-// errorRetry is the pause after an answer that names none.
+// errorRetry is the pause after a failed request or a response without a valid Retry-After.
 const errorRetry = 200 * time.Millisecond
 
-// send sends one request and records its course. It returns the pause that
-// the fleet asked for, 0 after an answer.
+// send sends one request and records its progress. It returns the pause before the next request:
+// 0 after a response with status 200, else the Retry-After of the response or errorRetry.
 func (r *runner) send(ctx context.Context, spec requestSpec) time.Duration {
 	c := &r.experiment.Customers[spec.customer]
 	if c.Timeout > 0 {
@@ -57,8 +57,8 @@
 	return 0
 }
 
-// resultOf is the result of a request that may have been cut short by the end
-// of the experiment or by its own timeout.
+// resultOf returns resultCancelled in place of resultBroken if the end of the experiment or the
+// timeout of the request interrupted it.
 func resultOf(ctx context.Context, result result) result {
 	if result == resultBroken && ctx.Err() != nil {
 		return resultCancelled
@@ -92,7 +92,7 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// read counts the tokens of a streamed answer.
+// read records the tokens of a streamed response until its end and returns the result.
 func (r *runner) read(resp *http.Response, c *course) result {
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
