--- a/load/load.go
+++ b/load/load.go
@@ -187,7 +187,7 @@
 	if !r.sleep(ctx, c.Start) {
 		return
 	}
-	for ctx.Err() == nil && !r.over(c) {
+	for ctx.Err() == nil && !r.stopped(c) {
 		pause := max(r.send(ctx, d.next()), c.Think)
 		if pause > 0 && !r.sleep(ctx, pause) {
 			return
@@ -199,7 +199,7 @@
 	if !r.sleep(ctx, c.Start) {
 		return
 	}
-	for !r.over(c) && r.sleep(ctx, d.pause()) {
+	for !r.stopped(c) && r.sleep(ctx, d.pause()) {
 		r.group.Go(func() error {
 			r.send(ctx, d.next())
 			return nil
@@ -207,7 +207,7 @@
 	}
 }
 
-func (r *runner) over(c *Customer) bool { return r.clock.Since(r.started) >= c.Stop }
+func (r *runner) stopped(c *Customer) bool { return r.clock.Since(r.started) >= c.Stop }
 
 // sleep waits for d. It returns false if the experiment ended before.
 func (r *runner) sleep(ctx context.Context, d time.Duration) bool {
--- a/load/record.go
+++ b/load/record.go
@@ -18,8 +18,8 @@
 	results
 )
 
-// course records the progress of a request in flight.
-type course struct {
+// requestProgress records the progress of a request in flight.
+type requestProgress struct {
 	spec  requestSpec
 	sent  time.Time
 	last  time.Time
@@ -42,12 +42,12 @@
 
 // customerRecord holds the measurements of one customer.
 type customerRecord struct {
-	service  float64
-	waiting  map[*course]struct{}
-	results  [results]int
-	wait     *hdrhistogram.Histogram
-	between  *hdrhistogram.Histogram
-	lastGain time.Time
+	service     float64
+	waiting     map[*requestProgress]struct{}
+	results     [results]int
+	wait        *hdrhistogram.Histogram
+	between     *hdrhistogram.Histogram
+	lastService time.Time
 	// longestPause is the longest time without service while backlogged.
 	longestPause time.Duration
 	largestCost  int
@@ -75,15 +75,15 @@
 func newRecorder(e *Experiment, started time.Time) *recorder {
 	r := &recorder{experiment: e, started: started, customers: make([]customerRecord, len(e.Customers))}
 	for i := range r.customers {
-		r.customers[i] = customerRecord{waiting: make(map[*course]struct{}), wait: newHistogram(), between: newHistogram()}
+		r.customers[i] = customerRecord{waiting: make(map[*requestProgress]struct{}), wait: newHistogram(), between: newHistogram()}
 	}
 	return r
 }
 
-func (r *recorder) warm(now time.Time) bool { return now.Sub(r.started) >= r.experiment.WarmUp }
+func (r *recorder) warmedUp(now time.Time) bool { return now.Sub(r.started) >= r.experiment.WarmUp }
 
-func (r *recorder) begin(spec requestSpec, now time.Time) *course {
-	c := &course{spec: spec, sent: now}
+func (r *recorder) begin(spec requestSpec, now time.Time) *requestProgress {
+	c := &requestProgress{spec: spec, sent: now}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.customers[spec.customer].waiting[c] = struct{}{}
@@ -91,15 +91,15 @@
 }
 
 // token records an output token; the first one also counts the input tokens as service.
-func (r *recorder) token(c *course, now time.Time) {
+func (r *recorder) token(c *requestProgress, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	cu := &r.customers[c.spec.customer]
 	weight := r.experiment.Customers[c.spec.customer].Weight
 	cu.service += 1 / weight
-	cu.lastGain = now
+	cu.lastService = now
 	if c.first {
-		if r.warm(now) {
+		if r.warmedUp(now) {
 			record(cu.between, now.Sub(c.last))
 		}
 		c.last = now
@@ -108,21 +108,21 @@
 	c.first, c.last = true, now
 	cu.service += float64(c.spec.input) / weight
 	delete(cu.waiting, c)
-	if r.warm(now) {
+	if r.warmedUp(now) {
 		record(cu.wait, now.Sub(c.sent))
 	}
 }
 
-func (r *recorder) end(c *course, how result, now time.Time) {
+func (r *recorder) end(c *requestProgress, outcome result, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	cu := &r.customers[c.spec.customer]
 	delete(cu.waiting, c)
-	if !r.warm(now) {
+	if !r.warmedUp(now) {
 		return
 	}
-	cu.results[how]++
-	if how == resultAnswered {
+	cu.results[outcome]++
+	if outcome == resultAnswered {
 		cu.largestCost = max(cu.largestCost, c.spec.input+c.spec.output)
 	}
 }
@@ -130,9 +130,9 @@
 // backlogAge is the time that a request must have waited for its first token to count as backlog.
 const backlogAge = 50 * time.Millisecond
 
-// take samples all customers and reports whether any of them is backlogged. Samples during the
+// samplePoint samples all customers and reports whether any of them is backlogged. Samples during the
 // warm-up are not kept.
-func (r *recorder) take(now time.Time) bool {
+func (r *recorder) samplePoint(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := point{at: now.Sub(r.started), service: make([]float64, len(r.customers)), backlogged: make([]bool, len(r.customers))}
@@ -142,9 +142,9 @@
 		p.service[i] = cu.service
 		p.backlogged[i] = cu.backlogged(now)
 		waits = waits || p.backlogged[i]
-		cu.notePause(p.backlogged[i], r.warm(now), now)
+		cu.updateLongestPause(p.backlogged[i], r.warmedUp(now), now)
 	}
-	if r.warm(now) {
+	if r.warmedUp(now) {
 		r.series = append(r.series, p)
 	}
 	return waits
@@ -159,11 +159,11 @@
 	return false
 }
 
-// notePause updates the longest time without service while backlogged.
-func (cu *customerRecord) notePause(backlogged, warm bool, now time.Time) {
-	if !backlogged || !warm || cu.lastGain.IsZero() {
-		cu.lastGain = now
+// updateLongestPause updates the longest time without service while backlogged.
+func (cu *customerRecord) updateLongestPause(backlogged, warm bool, now time.Time) {
+	if !backlogged || !warm || cu.lastService.IsZero() {
+		cu.lastService = now
 		return
 	}
-	cu.longestPause = max(cu.longestPause, now.Sub(cu.lastGain))
+	cu.longestPause = max(cu.longestPause, now.Sub(cu.lastService))
 }
--- a/load/report.go
+++ b/load/report.go
@@ -23,9 +23,9 @@
 	// BusyShare is the fraction of the slots in use while a customer was backlogged; 0 if none
 	// was.
 	BusyShare float64 `json:"busy_share"`
-	// MostInside is the largest number of requests that one engine reported as waiting inside it
+	// MaxWaiting is the largest number of requests that one engine reported as waiting inside it
 	// while a customer was backlogged.
-	MostInside   int              `json:"most_waiting_inside"`
+	MaxWaiting   int              `json:"most_waiting_inside"`
 	TokensPerSec float64          `json:"tokens_per_second"`
 	Control      ControlReport    `json:"control"`
 	Customers    []CustomerReport `json:"customers"`
@@ -87,7 +87,7 @@
 	if r.busy.offered > 0 {
 		rep.BusyShare = r.busy.busy / r.busy.offered
 	}
-	rep.MostInside = r.busy.mostInside
+	rep.MaxWaiting = r.busy.maxWaiting
 	for i := 0; i < len(r.series); i += seriesStep {
 		p := &r.series[i]
 		rep.Series = append(rep.Series, SeriesPoint{AtMS: milliseconds(p.at), Service: p.service, Backlogged: p.backlogged})
@@ -131,7 +131,7 @@
 func (rep *Report) WriteText(w io.Writer) error {
 	fmt.Fprintf(w, "gap            %.0f tokens per weight (%.2f of the largest request, %d tokens) between %s\n",
 		rep.GapTokens, rep.GapRequests, rep.LargestRequest, rep.GapBetween)
-	fmt.Fprintf(w, "busy share     %.3f of the slots while work waited; at most %d waiting inside an engine\n", rep.BusyShare, rep.MostInside)
+	fmt.Fprintf(w, "busy share     %.3f of the slots while work waited; at most %d waiting inside an engine\n", rep.BusyShare, rep.MaxWaiting)
 	fmt.Fprintf(w, "throughput     %.0f tokens/s\n", rep.TokensPerSec)
 	fmt.Fprintf(w, "control        %.0f B/s out, %.0f B/s in, %.2f%% of a core (the most of a router)\n",
 		rep.Control.SentBytes, rep.Control.ReceivedBytes, 100*rep.Control.CPUShare)
--- a/load/sample.go
+++ b/load/sample.go
@@ -28,7 +28,7 @@
 // a customer was backlogged at both of its ends.
 type busyRecord struct {
 	busy, offered float64
-	mostInside    int
+	maxWaiting    int
 	waits         bool
 	last          []engineCounts
 }
@@ -45,8 +45,8 @@
 			r.recorder.controlEnd(r.readControls())
 			return nil
 		case <-tick.Chan():
-			waits := r.recorder.take(r.clock.Now())
-			r.recorder.noteBusy(r.readEngines(), waits, r.clock.Now())
+			waits := r.recorder.samplePoint(r.clock.Now())
+			r.recorder.recordBusy(r.readEngines(), waits, r.clock.Now())
 		}
 	}
 }
@@ -72,15 +72,15 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-func (r *recorder) noteBusy(now []engineCounts, waits bool, at time.Time) {
+func (r *recorder) recordBusy(now []engineCounts, waits bool, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := &r.busy
-	if b.waits && waits && r.warm(at) && len(b.last) == len(now) {
+	if b.waits && waits && r.warmedUp(at) && len(b.last) == len(now) {
 		for i := range now {
 			b.busy += float64(now[i].BusySlots - b.last[i].BusySlots)
 			b.offered += float64(now[i].Steps-b.last[i].Steps) * float64(r.experiment.Slots)
-			b.mostInside = max(b.mostInside, now[i].Waiting)
+			b.maxWaiting = max(b.maxWaiting, now[i].Waiting)
 		}
 	}
 	b.waits, b.last = waits, now
--- a/load/send.go
+++ b/load/send.go
@@ -22,15 +22,15 @@
 	Stream       bool   `json:"stream"`
 }
 
-// hintTokens is the max_tokens of every request. It is the same for all because callers do not know
+// maxTokens is the max_tokens of every request. It is the same for all because callers do not know
 // the cost of their requests.
-const hintTokens = 4096
+const maxTokens = 4096
 
-// errorRetry is the pause after a failed request or a response without a valid Retry-After.
-const errorRetry = 200 * time.Millisecond
+// defaultRetryDelay is the pause after a failed request or a response without a valid Retry-After.
+const defaultRetryDelay = 200 * time.Millisecond
 
 // send sends one request and records its progress. It returns the pause before the next request:
-// 0 after a response with status 200, else the Retry-After of the response or errorRetry.
+// 0 after a response with status 200, else the Retry-After of the response or defaultRetryDelay.
 func (r *runner) send(ctx context.Context, spec requestSpec) time.Duration {
 	c := &r.experiment.Customers[spec.customer]
 	if c.Timeout > 0 {
@@ -40,20 +40,20 @@
 	}
 	req, err := r.newRequest(ctx, c, spec)
 	if err != nil {
-		return errorRetry
+		return defaultRetryDelay
 	}
-	course := r.recorder.begin(spec, r.clock.Now())
+	progress := r.recorder.begin(spec, r.clock.Now())
 	resp, err := r.http.Do(req)
 	if err != nil {
-		r.recorder.end(course, resultOf(ctx, resultBroken), r.clock.Now())
-		return errorRetry
+		r.recorder.end(progress, resultOf(ctx, resultBroken), r.clock.Now())
+		return defaultRetryDelay
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		r.recorder.end(course, resultRefused, r.clock.Now())
+		r.recorder.end(progress, resultRefused, r.clock.Now())
 		return retryAfter(resp)
 	}
-	r.recorder.end(course, resultOf(ctx, r.read(resp, course)), r.clock.Now())
+	r.recorder.end(progress, resultOf(ctx, r.read(resp, progress)), r.clock.Now())
 	return 0
 }
 
@@ -68,7 +68,7 @@
 
 func (r *runner) newRequest(ctx context.Context, c *Customer, spec requestSpec) (*http.Request, error) {
 	prompt := fmt.Sprintf("%s %d%s", c.Name, spec.number, strings.Repeat(" word", max(spec.input-2, 0)))
-	b, err := json.Marshal(body{Model: c.Model, Prompt: prompt, MaxTokens: hintTokens, OutputTokens: spec.output, Stream: true})
+	b, err := json.Marshal(body{Model: c.Model, Prompt: prompt, MaxTokens: maxTokens, OutputTokens: spec.output, Stream: true})
 	if err != nil {
 		return nil, err
 	}
@@ -87,13 +87,13 @@
 func retryAfter(resp *http.Response) time.Duration {
 	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 	if err != nil || seconds < 1 {
-		return errorRetry
+		return defaultRetryDelay
 	}
 	return time.Duration(seconds) * time.Second
 }
 
 // read records the tokens of a streamed response until its end and returns the result.
-func (r *runner) read(resp *http.Response, c *course) result {
+func (r *runner) read(resp *http.Response, c *requestProgress) result {
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		line := lines.Bytes()
