--- a/load/record.go
+++ b/load/record.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// result is how a request ended.
+// result is the outcome of a request.
 type result int
 
 const (
@@ -18,15 +18,15 @@
 	results
 )
 
-// course is a request under way.
-type course struct {
+// requestProgress records the progress of a request in flight.
+type requestProgress struct {
 	spec  requestSpec
 	sent  time.Time
 	last  time.Time
 	first bool
 }
 
-// Histograms count in microseconds up to ten minutes.
+// Histograms record microseconds; times above ten minutes count as ten minutes.
 const (
 	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 3
@@ -37,23 +37,23 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	h.RecordValue(min(d.Microseconds(), histogramMax)) //nolint:errcheck // inside the bounds
+	h.RecordValue(min(d.Microseconds(), histogramMax)) //nolint:errcheck // min keeps the value within the range of the histogram
 }
 
-// customerRecord is what one customer got.
+// customerRecord holds the measurements of one customer.
 type customerRecord struct {
-	service  float64
-	waiting  map[*course]struct{}
-	results  [results]int
-	wait     *hdrhistogram.Histogram
-	between  *hdrhistogram.Histogram
-	lastGain time.Time
+	service     float64
+	waiting     map[*requestProgress]struct{}
+	results     [results]int
+	wait        *hdrhistogram.Histogram
+	between     *hdrhistogram.Histogram
+	lastService time.Time
 	// longestPause is the longest time without service while backlogged.
 	longestPause time.Duration
 	largestCost  int
 }
 
-// recorder collects what requests get. It is safe for concurrent use.
+// recorder collects the measurements of all customers. It is safe for concurrent use.
 type recorder struct {
 	experiment *Experiment
 	started    time.Time
@@ -65,7 +65,7 @@
 	control   []controlRecord
 }
 
-// point is the state of all customers at one time.
+// point is a sample of the service and backlog of all customers.
 type point struct {
 	at         time.Duration
 	service    []float64
@@ -75,31 +75,31 @@
 func newRecorder(e *Experiment, started time.Time) *recorder {
 	r := &recorder{experiment: e, started: started, customers: make([]customerRecord, len(e.Customers))}
 	for i := range r.customers {
-		r.customers[i] = customerRecord{waiting: make(map[*course]struct{}), wait: newHistogram(), between: newHistogram()}
+		r.customers[i] = customerRecord{waiting: make(map[*requestProgress]struct{}), wait: newHistogram(), between: newHistogram()}
 	}
 	return r
 }
 
-func (r *recorder) warm(now time.Time) bool { return now.Sub(r.started) >= r.experiment.WarmUp }
+func (r *recorder) warmedUp(now time.Time) bool { return now.Sub(r.started) >= r.experiment.WarmUp }
 
-func (r *recorder) begin(spec requestSpec, now time.Time) *course {
-	c := &course{spec: spec, sent: now}
+func (r *recorder) begin(spec requestSpec, now time.Time) *requestProgress {
+	c := &requestProgress{spec: spec, sent: now}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.customers[spec.customer].waiting[c] = struct{}{}
 	return c
 }
 
-// token records an output token; the first one also brings the input tokens.
-func (r *recorder) token(c *course, now time.Time) {
+// token records an output token; the first one also counts the input tokens as service.
+func (r *recorder) token(c *requestProgress, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	cu := &r.customers[c.spec.customer]
 	weight := r.experiment.Customers[c.spec.customer].Weight
 	cu.service += 1 / weight
-	cu.lastGain = now
+	cu.lastService = now
 	if c.first {
-		if r.warm(now) {
+		if r.warmedUp(now) {
 			record(cu.between, now.Sub(c.last))
 		}
 		c.last = now
@@ -108,30 +108,31 @@
 	c.first, c.last = true, now
 	cu.service += float64(c.spec.input) / weight
 	delete(cu.waiting, c)
-	if r.warm(now) {
+	if r.warmedUp(now) {
 		record(cu.wait, now.Sub(c.sent))
 	}
 }
 
-func (r *recorder) end(c *course, how result, now time.Time) {
+func (r *recorder) end(c *requestProgress, outcome result, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	cu := &r.customers[c.spec.customer]
 	delete(cu.waiting, c)
-	if !r.warm(now) {
+	if !r.warmedUp(now) {
 		return
 	}
-	cu.results[how]++
-	if how == resultAnswered {
+	cu.results[outcome]++
+	if outcome == resultAnswered {
 		cu.largestCost = max(cu.largestCost, c.spec.input+c.spec.output)
 	}
 }
 
-// backlogAge is how long a request must have waited to count as backlog.
+// backlogAge is the time that a request must have waited for its first token to count as backlog.
 const backlogAge = 50 * time.Millisecond
 
-// take records the state of all customers and reports whether work waits.
-func (r *recorder) take(now time.Time) bool {
+// samplePoint samples all customers and reports whether any of them is backlogged. Samples during the
+// warm-up are not kept.
+func (r *recorder) samplePoint(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := point{at: now.Sub(r.started), service: make([]float64, len(r.customers)), backlogged: make([]bool, len(r.customers))}
@@ -141,9 +142,9 @@
 		p.service[i] = cu.service
 		p.backlogged[i] = cu.backlogged(now)
 		waits = waits || p.backlogged[i]
-		cu.notePause(p.backlogged[i], r.warm(now), now)
+		cu.updateLongestPause(p.backlogged[i], r.warmedUp(now), now)
 	}
-	if r.warm(now) {
+	if r.warmedUp(now) {
 		r.series = append(r.series, p)
 	}
 	return waits
@@ -158,11 +159,11 @@
 	return false
 }
 
-// notePause keeps the longest time without service while backlogged.
-func (cu *customerRecord) notePause(backlogged, warm bool, now time.Time) {
-	if !backlogged || !warm || cu.lastGain.IsZero() {
-		cu.lastGain = now
+// updateLongestPause updates the longest time without service while backlogged.
+func (cu *customerRecord) updateLongestPause(backlogged, warm bool, now time.Time) {
+	if !backlogged || !warm || cu.lastService.IsZero() {
+		cu.lastService = now
 		return
 	}
-	cu.longestPause = max(cu.longestPause, now.Sub(cu.lastGain))
+	cu.longestPause = max(cu.longestPause, now.Sub(cu.lastService))
 }
--- a/load/sample.go
+++ b/load/sample.go
@@ -13,26 +13,28 @@
 	"zinccove.example/zinccove/metric"
 )
 
-// samplePeriod is the time between points of the series.
+// samplePeriod is the interval between points of the series.
 const samplePeriod = 50 * time.Millisecond
 
-// engineCounts are the totals that an engine stand-in reports.
+// engineCounts holds the step and slot totals and the number of waiting requests that an engine
+// stand-in reports.
 type engineCounts struct {
 	Steps     uint64 `json:"steps"`
 	BusySlots uint64 `json:"busy_slots"`
 	Waiting   int    `json:"waiting"`
 }
 
-// busyRecord sums the use of slots over samples at whose both ends work
-// waited.
+// busyRecord sums the use of slots over the intervals between samples; an interval counts only if
+// a customer was backlogged at both of its ends.
 type busyRecord struct {
 	busy, offered float64
-	mostInside    int
+	maxWaiting    int
 	waits         bool
 	last          []engineCounts
 }
 
-// sample records points until the experiment ends.
+// sample records points until the experiment ends, and the control metrics of the routers at its
+// start and end.
 func (r *runner) sample(ctx context.Context) error {
 	r.recorder.controlStart(r.readControls())
 	tick := r.clock.NewTicker(samplePeriod)
@@ -43,8 +45,8 @@
 			r.recorder.controlEnd(r.readControls())
 			return nil
 		case <-tick.Chan():
-			waits := r.recorder.take(r.clock.Now())
-			r.recorder.noteBusy(r.readEngines(), waits, r.clock.Now())
+			waits := r.recorder.samplePoint(r.clock.Now())
+			r.recorder.recordBusy(r.readEngines(), waits, r.clock.Now())
 		}
 	}
 }
@@ -70,21 +72,22 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-func (r *recorder) noteBusy(now []engineCounts, waits bool, at time.Time) {
+func (r *recorder) recordBusy(now []engineCounts, waits bool, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	b := &r.busy
-	if b.waits && waits && r.warm(at) && len(b.last) == len(now) {
+	if b.waits && waits && r.warmedUp(at) && len(b.last) == len(now) {
 		for i := range now {
 			b.busy += float64(now[i].BusySlots - b.last[i].BusySlots)
 			b.offered += float64(now[i].Steps-b.last[i].Steps) * float64(r.experiment.Slots)
-			b.mostInside = max(b.mostInside, now[i].Waiting)
+			b.maxWaiting = max(b.maxWaiting, now[i].Waiting)
 		}
 	}
 	b.waits, b.last = waits, now
 }
 
-// controlRecord is what a router spent on control, from its metrics.
+// controlRecord holds the bytes and CPU seconds that a router used for control, read from its
+// metrics.
 type controlRecord struct {
 	sent, received, cpu float64
 	at                  time.Time
@@ -107,7 +110,7 @@
 	return records
 }
 
-// metrics reads the plain counters and gauges of a router.
+// metrics reads the counters and gauges of a router, by name.
 func (r *runner) metrics(addr netip.AddrPort) (map[string]float64, error) {
 	resp, err := r.http.Get("http://" + addr.String() + "/metrics")
 	if err != nil {
@@ -126,8 +129,9 @@
 	r.control = records
 }
 
-// controlEnd turns the records into spending a second. Routers that were
-// restarted meanwhile are left out.
+// controlEnd replaces the records of the start by rates per second. It leaves out routers whose
+// metrics could not be read at both times, and routers whose sent bytes decreased, as they do after
+// a restart.
 func (r *recorder) controlEnd(records []controlRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
